--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -127,7 +127,7 @@
   if (std::adjacent_find(s.labels.begin(), s.labels.end()) != s.labels.end()) {
     throw Bad("settings.siblings: two controllers have the same label");
   }
-  s.own_part =
+  s.own_shard =
       static_cast<int>(std::find(s.labels.begin(), s.labels.end(), s.label) - s.labels.begin());
   return s;
 }
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -67,8 +67,8 @@
 
   // All controllers' labels in order; the index is a controller's own part.
   std::vector<std::string> labels;
-  int own_part = 0;
-  int parts() const { return static_cast<int>(labels.size()); }
+  int own_shard = 0;
+  int shard_count() const { return static_cast<int>(labels.size()); }
 };
 
 // Each returns nothing and one clear line in `*error` when the text is of no use.
--- a/src/core/acceptance.cc
+++ b/src/core/acceptance.cc
@@ -13,7 +13,7 @@
 namespace {
 constexpr Micros kCommitTimeout = 1500 * kMilli;
 constexpr Micros kQueryPatience = 1500 * kMilli;
-constexpr size_t kMostQueries = 2000;
+constexpr size_t kMaxQueries = 2000;
 constexpr double kQueryReserve = 8;  // requests that a question leaves to the rest
 constexpr Micros kWaitsAge = 40 * kMilli;
 constexpr int kRetryAfter = 1;
@@ -35,7 +35,7 @@
   for (const MachineType& t : types_) {
     if (!TypeAllowed(spec, t.name, false) || !spec.each.Fits(t.size)) continue;
     if (spec.zone.empty()) {
-      fits = fits || !t.zones.empty() || s_.zones.empty();
+      fits = fits || !t.zones.empty() || settings_.zones.empty();
     } else {
       fits = fits || std::find(t.zones.begin(), t.zones.end(), spec.zone) != t.zones.end();
     }
@@ -52,42 +52,43 @@
 const Core::Waits& Core::WaitingCpus() {
   if (now_ - waits_at_ < kWaitsAge && !waits_.empty()) return waits_;
   waits_at_ = now_;
-  waits_.assign(parts_.size(), {});
+  waits_.assign(shards_.size(), {});
   for (const std::string& id : open_jobs_) {
     const JobRecord& r = jobs_.at(id).record;
-    if (r.part < 0 || r.part >= s_.parts()) continue;
-    const Part& p = parts_[static_cast<size_t>(r.part)];
+    if (r.shard_id < 0 || r.shard_id >= settings_.shard_count()) continue;
+    const Shard& shard = shards_[static_cast<size_t>(r.shard_id)];
     int64_t waiting = r.spec.tasks;
     auto run = runs_.find(id);
     if (run != runs_.end()) {
       waiting -= run->second.done + run->second.placed;
     } else {
-      auto progress = p.progress.find(id);
-      if (progress != p.progress.end()) waiting -= static_cast<int64_t>(progress->second.size());
-      auto placed = p.use.jobs.find(id);
-      if (placed != p.use.jobs.end()) waiting -= placed->second;
+      auto progress = shard.progress.find(id);
+      if (progress != shard.progress.end())
+        waiting -= static_cast<int64_t>(progress->second.size());
+      auto placed = shard.use.jobs.find(id);
+      if (placed != shard.use.jobs.end()) waiting -= placed->second;
     }
     if (waiting <= 0) continue;
     for (int i = 0; i <= static_cast<int>(r.spec.priority); ++i) {
-      waits_[static_cast<size_t>(r.part)][static_cast<size_t>(i)] += waiting * r.spec.each.cpus;
+      waits_[static_cast<size_t>(r.shard_id)][static_cast<size_t>(i)] += waiting * r.spec.each.cpus;
     }
   }
   return waits_;
 }
 
-// What each part has for a job: where its tasks could start now, given their
+// What each shard has for a job: where its tasks could start now, given their
 // zones, and free cpus less what already waits there and comes first.
 std::vector<Core::Room> Core::RoomsFor(const JobSpec& spec) {
-  std::vector<Room> rooms(parts_.size());
+  std::vector<Room> rooms(shards_.size());
   const Waits& waits = WaitingCpus();
   const bool critical = spec.priority == Priority::kProduction;
-  for (size_t p = 0; p < parts_.size(); ++p) {
-    Room& room = rooms[p];
-    room.waiting = static_cast<double>(waits[p][static_cast<size_t>(spec.priority)]);
-    JobSpread spread, warm_spread;
+  for (size_t shard_id = 0; shard_id < shards_.size(); ++shard_id) {
+    Room& room = rooms[shard_id];
+    room.waiting = static_cast<double>(waits[shard_id][static_cast<size_t>(spec.priority)]);
+    JobSpread spread, ready_spread;
     PlaceMachine probe;
-    for (const MachineUse& use : parts_[p].machine_use) {
-      const RosterMachine& m = *use.machine;
+    for (const MachineUse& use : shards_[shard_id].machine_use) {
+      const AssignedMachine& m = *use.machine;
       const MachineType* type = TypeOf(m.type);
       if (type == nullptr || m.leaving || !m.helps.empty()) continue;
       if (!TypeAllowed(spec, m.type, m.spot)) continue;
@@ -101,22 +102,22 @@
       probe.type = m.type;
       probe.zone = m.zone;
       probe.spot = m.spot;
-      if (spec.kind == JobKind::kService && room.warm < spec.tasks) {
+      if (spec.kind == JobKind::kService && room.ready < spec.tasks) {
         bool has_image = use.images.count(spec.image) != 0;
         if (!has_image) {
           auto info = machines_.find(m.name);
           has_image = info != machines_.end() && info->second.images.count(spec.image) != 0;
         }
         if (has_image) {
-          room.warm_soon += static_cast<int>(
+          room.ready_soon += static_cast<int>(
               std::min<int64_t>(spec.tasks, spec.each.cpus > 0 ? left.cpus / spec.each.cpus : 1));
         }
-        for (Amount rest = type->size - use.all; has_image && room.warm < spec.tasks &&
+        for (Amount rest = type->size - use.all; has_image && room.ready < spec.tasks &&
                                                  spec.each.Fits(rest) && spec.each.cpus > 0 &&
-                                                 Allowed(spec, warm_spread, probe);) {
+                                                 Allowed(spec, ready_spread, probe);) {
           rest -= spec.each;
-          ++warm_spread.by_zone[m.zone];
-          ++room.warm;
+          ++ready_spread.by_zone[m.zone];
+          ++room.ready;
         }
       }
       while (room.placeable < spec.tasks && spec.each.Fits(left) && Allowed(spec, spread, probe)) {
@@ -132,34 +133,35 @@
           static_cast<int>(std::clamp(room.now_free / static_cast<double>(spec.each.cpus), 0.0,
                                       static_cast<double>(room.placeable)));
     }
-    auto peer = peers_.find(parts_[p].claim.owner);
-    room.owned = parts_[p].claim_version != 0 &&
+    auto peer = peers_.find(shards_[shard_id].leadership.leader);
+    room.owned = shards_[shard_id].leadership_version != 0 &&
                  (peer == peers_.end() || now_ - peer->second.heard < 1500 * kMilli);
   }
   return rooms;
 }
 
-int Core::PartForJob(const JobSpec& spec) {
+int Core::ShardForJob(const JobSpec& spec) {
   std::vector<Room> rooms = RoomsFor(spec);
-  size_t best = StableHash(spec.id) % parts_.size();
-  std::vector<double> score(parts_.size(), 0);
+  size_t best = StableHash(spec.id) % shards_.size();
+  std::vector<double> score(shards_.size(), 0);
   double mean = 0;
   for (const Room& room : rooms) mean += room.size / static_cast<double>(rooms.size());
-  for (size_t p = 0; p < parts_.size(); ++p) {
-    const Room& room = rooms[p];
-    score[p] = room.now_free;
-    // Where all are full, by how long it takes: a small part works a queue off slowly.
-    if (room.now_free < 0 && room.size > 0) score[p] *= mean / room.size;
-    if (spec.kind != JobKind::kArray) score[p] += 1e8 * room.placeable / spec.tasks;
+  for (size_t shard_id = 0; shard_id < shards_.size(); ++shard_id) {
+    const Room& room = rooms[shard_id];
+    score[shard_id] = room.now_free;
+    // Where all are full, by how long it takes: a small shard works a queue off slowly.
+    if (room.now_free < 0 && room.size > 0) score[shard_id] *= mean / room.size;
+    if (spec.kind != JobKind::kArray) score[shard_id] += 1e8 * room.placeable / spec.tasks;
     // A replica starts at once only where its image is.
     if (spec.kind == JobKind::kService) {
-      score[p] += 1e7 * (room.warm + 0.2 * std::min(room.warm_soon, spec.tasks)) / spec.tasks;
+      score[shard_id] +=
+          1e7 * (room.ready + 0.2 * std::min(room.ready_soon, spec.tasks)) / spec.tasks;
     }
-    // Nobody owns it at the moment: it would wait for a takeover.
-    if (!room.owned) score[p] -= 1e12;
+    // Nobody leads it at the moment: it would wait for a takeover.
+    if (!room.owned) score[shard_id] -= 1e12;
   }
-  for (size_t p = 0; p < parts_.size(); ++p) {
-    if (score[p] > score[best] + 1) best = p;
+  for (size_t shard_id = 0; shard_id < shards_.size(); ++shard_id) {
+    if (score[shard_id] > score[best] + 1) best = shard_id;
   }
   return static_cast<int>(best);
 }
@@ -248,7 +250,7 @@
   }
   // Acceptance comes before all other writes: it only stops when the node is
   // deep in debt, and otherwise lets the service itself say that it is too much.
-  if (write_budget_.have() < -s_.write_rps / 2) {
+  if (write_budget_.have() < -settings_.write_rps / 2) {
     ++counters_.refused;
     // Not all of them back at the same moment.
     Answer(request.id, 429, wire::EncodeError("too many submissions"),
@@ -257,10 +259,10 @@
   }
   write_budget_.Force(now, 1);
   JobRecord record;
-  record.part = PartForJob(*spec);
+  record.shard_id = ShardForJob(*spec);
   // The next one of a burst sees this one wait there.
   for (int i = 0; i <= static_cast<int>(spec->priority); ++i) {
-    waits_[static_cast<size_t>(record.part)][static_cast<size_t>(i)] +=
+    waits_[static_cast<size_t>(record.shard_id)][static_cast<size_t>(i)] +=
         spec->tasks * spec->each.cpus;
   }
   record.submitted = WallNow(now);
@@ -299,7 +301,7 @@
     AnswerQuery(now, query);
     return;
   }
-  if (!synced_ || queries_.size() >= kMostQueries) {
+  if (!synced_ || queries_.size() >= kMaxQueries) {
     const int spread = synced_ ? static_cast<int>(StableHash(query.id) % kRetrySpread) : 0;
     Answer(query.request, 503, wire::EncodeError("not ready"), kRetryAfter + spread);
     return;
@@ -321,7 +323,7 @@
   StateTxn txn;
   std::map<std::string, uint64_t> versions;
   std::vector<Query> batch;
-  size_t most = static_cast<size_t>(4 * s_.txn_ops);
+  size_t most = static_cast<size_t>(4 * settings_.txn_ops);
   while (!queries_.empty() && versions.size() < most) {
     Query q = std::move(queries_.front());
     queries_.pop_front();
@@ -388,12 +390,12 @@
   if (run != runs_.end()) {
     out.done = run->second.done;
     out.running = run->second.placed;
-  } else if (r.part >= 0 && r.part < s_.parts()) {
-    const Part& p = parts_[static_cast<size_t>(r.part)];
-    auto progress = p.progress.find(id);
-    if (progress != p.progress.end()) out.done = static_cast<int64_t>(progress->second.size());
-    auto placed = p.use.jobs.find(id);
-    if (placed != p.use.jobs.end()) out.running = placed->second;
+  } else if (r.shard_id >= 0 && r.shard_id < settings_.shard_count()) {
+    const Shard& shard = shards_[static_cast<size_t>(r.shard_id)];
+    auto progress = shard.progress.find(id);
+    if (progress != shard.progress.end()) out.done = static_cast<int64_t>(progress->second.size());
+    auto placed = shard.use.jobs.find(id);
+    if (placed != shard.use.jobs.end()) out.running = placed->second;
   }
   out.state = out.running > 0 ? "running" : "queued";
   return out;
@@ -443,8 +445,8 @@
          if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
          if (reply) state_ok_ = t;
          if (status == 200 && reply) {
-           // Siblings must be able to hear of it before the user does.
-           next_gossip_ = t;
+           // Peers must be able to hear of it before the user does.
+           next_heartbeat_ = t;
            ApplyPut(t, write.key, write.value, reply->revision);
            Answer(query.request, 200, wire::EncodeJobState(query.id, "cancelled"));
          } else if (status == 409) {
--- a/src/core/cloud.cc
+++ b/src/core/cloud.cc
@@ -3,7 +3,7 @@
 
 #include "base/ids.h"
 #include "core/core.h"
-#include "core/draft.h"
+#include "core/plan.h"
 
 namespace troutlink {
 
@@ -16,22 +16,22 @@
 constexpr int kPageLimit = 500;
 }  // namespace
 
-void Core::DraftAdoption(Micros now, int part, Draft* draft) {
+void Core::PlanAdoption(Micros now, int shard_id, Plan* plan) {
   // Rentals that were answered.
-  for (auto it = draft->roster.hires.begin(); it != draft->roster.hires.end();) {
-    auto state = hires_.find(it->first);
-    if (state == hires_.end() || !state->second.done) {
+  for (auto it = plan->assignments.rentals.begin(); it != plan->assignments.rentals.end();) {
+    auto state = rental_states_.find(it->first);
+    if (state == rental_states_.end() || !state->second.done) {
       ++it;
       continue;
     }
     bool all = true;
     for (const std::string& name : state->second.machines) {
-      if (PartOfMachine(name) >= 0) continue;
-      if (!draft->MayChange(name)) {
+      if (ShardOfMachine(name) >= 0) continue;
+      if (!plan->MayChange(name)) {
         all = false;  // in a later round; until then the rental stays on record
         continue;
       }
-      RosterMachine m;
+      AssignedMachine m;
       m.name = name;
       m.type = it->second.ask.type;
       m.zone = it->second.ask.zone;
@@ -39,18 +39,20 @@
       m.helps = it->second.helps;
       auto known = unknown_.find(name);  // it may be up already
       if (known != unknown_.end()) m.addr = known->second.addr;
-      draft->roster.machines[name] = std::move(m);
-      draft->Change(name);
+      plan->assignments.machines[name] = std::move(m);
+      plan->Change(name);
     }
-    it = all ? draft->roster.hires.erase(it) : std::next(it);
-    draft->urgent = true;
+    it = all ? plan->assignments.rentals.erase(it) : std::next(it);
+    plan->urgent = true;
   }
-  // Machines that nobody has in a roster, by hash of their names. The commit is
-  // conditional on all rosters, so that no two parts take the same machine.
+  // Machines that nobody has in an assignment table, by hash of their names. The commit is
+  // conditional on all assignment tables, so that no two shards take the same machine.
   auto wanted = [&](const std::string& type, const std::string& zone, bool spot) {
-    for (int q = 0; q < s_.parts(); ++q) {
-      const Roster& r = q == part ? draft->roster : parts_[static_cast<size_t>(q)].roster;
-      for (const auto& [id, h] : r.hires) {
+    for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
+      const AssignmentTable& r = other_id == shard_id
+                                     ? plan->assignments
+                                     : shards_[static_cast<size_t>(other_id)].assignments;
+      for (const auto& [id, h] : r.rentals) {
         if (h.ask.type == type && h.ask.zone == zone && h.ask.spot == spot) return true;
       }
     }
@@ -59,20 +61,20 @@
   int adopted = 0;
   auto adopt = [&](const std::string& name, const std::string& addr, const std::string& type,
                    const std::string& zone, bool spot) {
-    if (static_cast<int>(StableHash(name) % parts_.size()) != part) return;
-    if (PartOfMachine(name) >= 0 || draft->roster.machines.count(name) != 0) return;
-    if (departed_.count(name) != 0 || !draft->MayChange(name)) return;
+    if (static_cast<int>(StableHash(name) % shards_.size()) != shard_id) return;
+    if (ShardOfMachine(name) >= 0 || plan->assignments.machines.count(name) != 0) return;
+    if (departed_.count(name) != 0 || !plan->MayChange(name)) return;
     if (wanted(type, zone, spot)) return;  // may be the answer to come
-    RosterMachine m;
+    AssignedMachine m;
     m.name = name;
     m.addr = addr;
     m.type = type;
     m.zone = zone;
     m.spot = spot;
-    draft->roster.machines[name] = std::move(m);
-    draft->Change(name);
-    draft->all_rosters = true;
-    draft->urgent = true;
+    plan->assignments.machines[name] = std::move(m);
+    plan->Change(name);
+    plan->all_tables = true;
+    plan->urgent = true;
     ++adopted;
     ++counters_.adopted;
   };
@@ -82,9 +84,10 @@
     adopt(name, report.addr, report.type, report.zone, report.spot);
   }
   // A list may show what was given back long ago. At the very first start, when
-  // no part has rented anything yet, it can be trusted at once.
+  // no shard has rented anything yet, it can be trusted at once.
   bool first_start = true;
-  for (const Part& p : parts_) first_start = first_start && p.roster.next_number == 1;
+  for (const Shard& shard : shards_)
+    first_start = first_start && shard.assignments.next_number == 1;
   for (const ListedMachine& m : listed_) {
     if (adopted >= 50) break;
     if (m.state != ListedMachine::State::kRunning && m.age < kStrayAfter) continue;
@@ -96,18 +99,18 @@
   }
 }
 
-void Core::SendHire(Micros now, int part, const std::string& request) {
-  Part& p = parts_[static_cast<size_t>(part)];
-  auto hire = p.roster.hires.find(request);
-  if (!p.mine || hire == p.roster.hires.end()) return;
-  HireState& state = hires_[request];
+void Core::SendRental(Micros now, int shard_id, const std::string& request) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  auto rental = shard.assignments.rentals.find(request);
+  if (!shard.is_leader || rental == shard.assignments.rentals.end()) return;
+  RentalState& state = rental_states_[request];
   if (state.sent || state.done || now < state.retry_at) return;
   if (!cloud_budget_.Take(now, 1)) return;
   state.sent = true;
-  const RentRequest ask = hire->second.ask;
+  const RentRequest ask = rental->second.ask;
   Send(Dest::kCloud, "", "POST", wire::RentTarget(), wire::EncodeRent(ask), kCloudTimeout,
-       [this, part, request, ask](Micros t, int status, const std::string& body) {
-         HireState& h = hires_[request];
+       [this, shard_id, request, ask](Micros t, int status, const std::string& body) {
+         RentalState& h = rental_states_[request];
          h.sent = false;
          std::optional<std::vector<std::string>> rented;
          if (status == 200) rented = wire::DecodeRented(body);
@@ -115,35 +118,36 @@
          if (rented) {
            h.done = true;
            h.machines = *rented;
-           counters_.hired += rented->size();
+           counters_.rented_machines += rented->size();
            // Filled in part: there are no more at the moment.
            if (static_cast<int>(rented->size()) < ask.count) {
              Pause& pause = offer_pause_[key];
-             pause = {t + FromSeconds(s_.op.refusal_pause_s()), 1};
+             pause = {t + FromSeconds(settings_.op.refusal_pause_s()), 1};
            } else {
              offer_pause_.erase(key);
            }
          } else if (status == 400 ||
                     (status == 503 && body.find("no capacity") != std::string::npos)) {
            h.done = true;
-           ++counters_.refused_hires;
+           ++counters_.refused_rentals;
            // Every request costs writes and calls: ask less and less often.
            Pause& pause = offer_pause_[key];
-           pause.until = t + (FromSeconds(s_.op.refusal_pause_s()) << std::min(pause.refusals, 2));
+           pause.until =
+               t + (FromSeconds(settings_.op.refusal_pause_s()) << std::min(pause.refusals, 2));
            ++pause.refusals;
          } else {
            // May have been carried out: only a repeat of the same request tells.
            h.retry_at = t + 1500 * kMilli;
          }
-         Touch(part);
+         MarkDirty(shard_id);
        });
 }
 
-void Core::SendReturns(Micros now, int part) {
-  Part& p = parts_[static_cast<size_t>(part)];
-  if (!p.mine || !p.any_leaving) return;
+void Core::SendReturns(Micros now, int shard_id) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  if (!shard.is_leader || !shard.any_leaving) return;
   std::vector<std::string> names;
-  for (const auto& [name, m] : p.roster.machines) {
+  for (const auto& [name, m] : shard.assignments.machines) {
     MachineInfo& info = machines_[name];
     if (!m.leaving || info.returning || returned_.count(name) != 0 || now < info.return_at)
       continue;
@@ -153,24 +157,24 @@
   if (names.empty() || !cloud_budget_.Take(now, 1)) return;
   for (const std::string& name : names) machines_[name].returning = true;
   Send(Dest::kCloud, "", "POST", wire::ReturnTarget(), wire::EncodeReturn(names), kCloudTimeout,
-       [this, part, names](Micros t, int status, const std::string&) {
-         Part& q = parts_[static_cast<size_t>(part)];
+       [this, shard_id, names](Micros t, int status, const std::string&) {
+         Shard& shard = shards_[static_cast<size_t>(shard_id)];
          for (const std::string& name : names) {
            MachineInfo& info = machines_[name];
            info.returning = false;
            info.return_at = t + kSecond;
-           auto m = q.roster.machines.find(name);
-           if (status != 200 || m == q.roster.machines.end() || !q.mine) continue;
+           auto m = shard.assignments.machines.find(name);
+           if (status != 200 || m == shard.assignments.machines.end() || !shard.is_leader) continue;
            // Confirmed: the machine and everything on it is gone.
            ++counters_.returned;
            returned_.insert(name);
            health_.ForgetMachine(name);
            for (const Attempt& a : m->second.attempts) {
              auto at = attempts_.find(a);
-             if (at != attempts_.end()) MarkGone(part, a, &at->second);
+             if (at != attempts_.end()) MarkGone(shard_id, a, &at->second);
            }
          }
-         Touch(part);
+         MarkDirty(shard_id);
        });
 }
 
@@ -181,11 +185,11 @@
        [this](Micros t, int status, const std::string& body) {
          types_busy_ = false;
          next_types_ = t + (status == 200 ? kTypesPeriod : 2 * kSecond);
-         if (status == 200) TakeTypes(t, body);
+         if (status == 200) StoreTypes(t, body);
        });
 }
 
-void Core::TakeTypes(Micros now, const std::string& body) {
+void Core::StoreTypes(Micros now, const std::string& body) {
   std::optional<std::vector<MachineType>> types = wire::DecodeMachineTypes(body);
   if (!types || types->empty()) return;
   types_ = std::move(*types);
@@ -229,23 +233,23 @@
          list_busy_ = false;
          list_after_.clear();
          // Half of our calls are left to rentals and returns.
-         const auto paced = static_cast<Micros>(2.0 * list_pages_ * s_.parts() / s_.cloud_rps *
-                                                static_cast<double>(kSecond));
+         const auto paced = static_cast<Micros>(2.0 * list_pages_ * settings_.shard_count() /
+                                                settings_.cloud_rps * static_cast<double>(kSecond));
          next_machines_ =
              machines_asked_ +
              std::max(paced, some_silent_
                                  ? 1500 * kMilli
-                                 : std::max<Micros>(2 * kSecond, s_.list_lag / 2 + kSecond));
-         TakeMachines(t);
+                                 : std::max<Micros>(2 * kSecond, settings_.list_lag / 2 + kSecond));
+         ProcessMachineList(t);
        });
 }
 
-void Core::TakeMachines(Micros now) {
+void Core::ProcessMachineList(Micros now) {
   std::set<std::string> names;
   for (const ListedMachine& m : listed_) {
     names.insert(m.name);
-    int part = PartOfMachine(m.name);
-    if (part < 0) {
+    int shard_id = ShardOfMachine(m.name);
+    if (shard_id < 0) {
       stray_since_.try_emplace(m.name, now);
       continue;
     }
@@ -258,12 +262,13 @@
     // keep the first real one waiting.
     if (info.addr.empty() && info.listed_running) info.addr = m.addr;
   }
-  for (const Part& p : parts_) {
-    for (const auto& [name, m] : p.roster.machines) {
+  for (const Shard& shard : shards_) {
+    for (const auto& [name, m] : shard.assignments.machines) {
       MachineInfo& info = machines_[name];
       // A list may be older than the one before it: only a machine that has
       // been up for longer than any list lags is missed.
-      bool old = info.first_heard != 0 && machines_asked_ - info.first_heard > 3 * s_.list_lag;
+      bool old =
+          info.first_heard != 0 && machines_asked_ - info.first_heard > 3 * settings_.list_lag;
       if (old && info.listed && names.count(name) == 0) info.missing = true;
     }
   }
@@ -274,7 +279,7 @@
     return names.count(s.first) == 0 && unknown_.count(s.first) == 0;
   });
   std::erase_if(machines_, [&](const auto& m) {
-    return machine_part_.count(m.first) == 0 && names.count(m.first) == 0 &&
+    return machine_shard_.count(m.first) == 0 && names.count(m.first) == 0 &&
            now - std::max(m.second.heard, m.second.redirected_at) > 120 * kSecond;
   });
 }
@@ -283,13 +288,13 @@
   AskTypes(now);
   bool any = false;
   if (now >= next_judge_) some_silent_ = false;
-  for (int part = 0; part < s_.parts(); ++part) {
-    Part& p = parts_[static_cast<size_t>(part)];
-    if (!p.mine) continue;
+  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
+    Shard& shard = shards_[static_cast<size_t>(shard_id)];
+    if (!shard.is_leader) continue;
     any = true;
-    for (const auto& [id, h] : p.roster.hires) SendHire(now, part, id);
-    SendReturns(now, part);
-    if (now >= next_judge_) JudgeMachines(now, part);
+    for (const auto& [id, h] : shard.assignments.rentals) SendRental(now, shard_id, id);
+    SendReturns(now, shard_id);
+    if (now >= next_judge_) JudgeMachines(now, shard_id);
   }
   if (now >= next_judge_) next_judge_ = now + kJudgePeriod;
   // Rentals and returns come first.
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -14,26 +14,26 @@
 }  // namespace
 
 Core::Core(const Settings& settings, uint64_t boot, Micros now, Micros wall)
-    : s_(settings),
+    : settings_(settings),
       boot_(boot),
       started_(now),
       wall_offset_(wall - now),
-      parts_(static_cast<size_t>(settings.parts())),
+      shards_(static_cast<size_t>(settings.shard_count())),
       health_(static_cast<int>(settings.op.machine_failures()),
               static_cast<int>(settings.op.job_failures())),
-      write_budget_(settings.write_rps * kShareOfLimits / settings.parts(),
+      write_budget_(settings.write_rps * kShareOfLimits / settings.shard_count(),
                     settings.write_rps * 0.5),
-      state_budget_(settings.state_rps * kShareOfLimits / settings.parts(),
+      state_budget_(settings.state_rps * kShareOfLimits / settings.shard_count(),
                     settings.state_rps * 0.3),
-      cloud_budget_(settings.cloud_rps * kShareOfLimits / settings.parts(),
-                    std::max(1.0, settings.cloud_rps * 2 / settings.parts())) {
+      cloud_budget_(settings.cloud_rps * kShareOfLimits / settings.shard_count(),
+                    std::max(1.0, settings.cloud_rps * 2 / settings.shard_count())) {
   // A late answer to the process before this one must not be taken for an
   // answer to us: numbers begin where no earlier process is likely to have been.
   const uint64_t base = (boot_ & 0xffffffffu) << 24;
   next_foreign_ = (uint64_t{1} << 62) | base;
   next_relay_ = base;
   ping_seq_ = base;
-  for (const Sibling& sibling : s_.siblings) peers_[sibling.label].label = sibling.label;
+  for (const Sibling& sibling : settings_.siblings) peers_[sibling.label].label = sibling.label;
 }
 
 uint64_t Core::Send(Dest dest, std::string addr, std::string method, std::string target,
@@ -67,7 +67,7 @@
   auto open = open_.find(request);
   if (open != open_.end()) {
     if (status >= 429 && open->second.forward != 0) {
-      // A sibling is still at work on it.
+      // A peer is still at work on it.
       open->second.refused = true;
       open->second.refusal = {request, status, std::move(body), retry_after_s};
       return;
@@ -89,7 +89,7 @@
 }
 
 const Team* Core::FindTeam(const std::string& name) const {
-  for (const Team& t : s_.teams) {
+  for (const Team& t : settings_.teams) {
     if (t.name == name) return &t;
   }
   return nullptr;
@@ -138,7 +138,7 @@
   return Flush();
 }
 
-// A user's request, from here or from a sibling.
+// A user's request, from here or from a peer.
 void Core::Route(Micros now, const Request& request) {
   std::string_view target = request.target;
   target = target.substr(0, target.find('?'));
@@ -176,23 +176,23 @@
   auto peer = peers_.find(from);
   if (peer == peers_.end()) return Flush();
   if (const auto* ping = std::get_if<mesh::Ping>(&message)) {
-    TakeGossip(now, from, *ping);
+    HandleHeartbeat(now, from, *ping);
     mesh::Pong pong;
-    static_cast<mesh::Gossip&>(pong) = MakeGossip(now, false, ping->seen);
+    static_cast<mesh::Heartbeat&>(pong) = MakeHeartbeat(now, false, ping->seen);
     pong.seq = ping->seq;
     out_.peers.push_back({from, std::move(pong)});
   } else if (const auto* pong = std::get_if<mesh::Pong>(&message)) {
-    Peer& p = peer->second;
-    auto sent = p.pings.find(pong->seq);
-    TakeGossip(now, from, *pong);
-    if (sent != p.pings.end()) {
+    Peer& peer_state = peer->second;
+    auto sent = peer_state.pings.find(pong->seq);
+    HandleHeartbeat(now, from, *pong);
+    if (sent != peer_state.pings.end()) {
       // It answers for all that its sender, also the process before, can have told until
       // then: nothing is told that is not stored, and it has read the store and left nothing
-      // out that our view lacks.
+      // out that our replica lacks.
       if (pong->seen != 0 && pong->cancels_from <= sent->second.seen) {
-        p.known = std::max(p.known, sent->second.at);
+        peer_state.cancels_known_at = std::max(peer_state.cancels_known_at, sent->second.at);
       }
-      p.pings.erase(p.pings.begin(), std::next(sent));
+      peer_state.pings.erase(peer_state.pings.begin(), std::next(sent));
     }
   } else if (const auto* relay = std::get_if<mesh::Relay>(&message)) {
     OnReport(now, 0, from, relay->id, relay->body);
@@ -217,11 +217,11 @@
       if (open != open_.end()) {
         open->second.forward = 0;
         if (answer->status < 429) {
-          // What we tell a user we act on as well, even if the sibling ends before it
+          // What we tell a user we act on as well, even if the peer ends before it
           // tells us as one of its cancels.
           std::optional<JobStatus> status;
           if (answer->status == 200) status = wire::DecodeJobStatus(answer->body);
-          if (status && status->state == "cancelled") HearCancel(now, status->id);
+          if (status && status->state == "cancelled") LearnCancellation(now, status->id);
           Answer(request, static_cast<int>(answer->status), answer->body);
         } else if (open->second.refused) {
           Reply refusal = open->second.refusal;
@@ -234,16 +234,16 @@
   return Flush();
 }
 
-// The limits of the state service and the cloud are shared by parts: who works for a
+// The limits of the state service and the cloud are shared by shards: who works for a
 // node that is away also has its share.
 void Core::ShareLimits(Micros now) {
-  const auto owned =
-      std::count_if(parts_.begin(), parts_.end(), [](const Part& p) { return p.mine; });
-  const double share =
-      kShareOfLimits * static_cast<double>(std::max<std::ptrdiff_t>(1, owned)) / s_.parts();
-  write_budget_.SetRate(now, s_.write_rps * share);
-  state_budget_.SetRate(now, s_.state_rps * share);
-  cloud_budget_.SetRate(now, s_.cloud_rps * share);
+  const auto owned = std::count_if(shards_.begin(), shards_.end(),
+                                   [](const Shard& shard) { return shard.is_leader; });
+  const double share = kShareOfLimits * static_cast<double>(std::max<std::ptrdiff_t>(1, owned)) /
+                       settings_.shard_count();
+  write_budget_.SetRate(now, settings_.write_rps * share);
+  state_budget_.SetRate(now, settings_.state_rps * share);
+  cloud_budget_.SetRate(now, settings_.cloud_rps * share);
 }
 
 Outbox Core::Tick(Micros now, Micros wall) {
@@ -263,14 +263,14 @@
       StartWatch(now);
     }
   }
-  if (now >= next_gossip_) Gossip(now);
+  if (now >= next_heartbeat_) Heartbeat(now);
   RunLease(now);
-  if (synced_) RunClaims(now);
+  if (synced_) RunElections(now);
   ShareLimits(now);
   RunCloud(now);
   for (auto it = relays_.begin(); it != relays_.end();) {
     if (now - it->second.second > 3 * kSecond) {
-      Answer(it->second.first, 503, wire::EncodeError("owner does not answer"));
+      Answer(it->second.first, 503, wire::EncodeError("leader does not answer"));
       it = relays_.erase(it);
     } else {
       ++it;
@@ -298,7 +298,7 @@
   put("redirects_total", c.redirects);
   put("relays_total", c.relays);
   put("forwards_total", c.forwards);
-  put("cared_total", c.cared);
+  put("renewed_on_behalf_total", c.renewed_on_behalf);
   put("rounds_total", c.rounds);
   put("oversized_total", c.oversized);
   put("commits_total", c.commits);
@@ -313,23 +313,23 @@
   put("starts_total", c.starts);
   put("stops_total", c.stops);
   put("gone_total", c.gone);
-  put("takes_total", c.takes);
+  put("acquired_machines_total", c.acquired_machines);
   put("share_moves_total", c.share_moves);
   put("job_moves_total", c.job_moves);
   put("consolidated_total", c.consolidated);
-  put("hired_total", c.hired);
-  put("refused_hires_total", c.refused_hires);
+  put("rented_machines_total", c.rented_machines);
+  put("refused_rentals_total", c.refused_rentals);
   put("returned_total", c.returned);
   put("adopted_total", c.adopted);
-  put("claims_total", c.claims);
-  put("lost_claims_total", c.lost_claims);
+  put("elections_total", c.elections);
+  put("lost_leaderships_total", c.lost_leaderships);
   put("handed_back_total", c.handed_back);
-  put("unheeding_total", c.unheeding);
+  put("unresponsive_total", c.unresponsive);
   put("tails_total", c.tails);
   put("helpers_total", c.helpers);
   put("overdue_total", c.overdue);
   put("preempted_total", c.preempted);
-  put("fences_total", c.fences);
+  put("fencing_raises_total", c.fencing_raises);
   put("jobs", jobs_.size());
   put("attempts", attempts_.size());
   put("machines", machines_.size());
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -25,17 +25,17 @@
 
 struct Counters {
   uint64_t submissions = 0, accepted = 0, refused = 0, polls = 0, aborts = 0;
-  uint64_t reports = 0, redirects = 0, relays = 0, forwards = 0, cared = 0;
+  uint64_t reports = 0, redirects = 0, relays = 0, forwards = 0, renewed_on_behalf = 0;
   uint64_t rounds = 0, oversized = 0;
   uint64_t commits = 0, commit_conflicts = 0, commit_unknown = 0, puts = 0;
   uint64_t busy_answers = 0;  // 429s
   uint64_t state_calls = 0, cloud_calls = 0, worker_calls = 0, worker_unknown = 0;
-  uint64_t starts = 0, stops = 0, gone = 0, takes = 0, share_moves = 0, job_moves = 0,
+  uint64_t starts = 0, stops = 0, gone = 0, acquired_machines = 0, share_moves = 0, job_moves = 0,
            consolidated = 0;
-  uint64_t hired = 0, refused_hires = 0, returned = 0, adopted = 0;
-  uint64_t claims = 0, lost_claims = 0, handed_back = 0;
-  uint64_t unheeding = 0;
-  uint64_t tails = 0, helpers = 0, overdue = 0, preempted = 0, fences = 0;
+  uint64_t rented_machines = 0, refused_rentals = 0, returned = 0, adopted = 0;
+  uint64_t elections = 0, lost_leaderships = 0, handed_back = 0;
+  uint64_t unresponsive = 0;
+  uint64_t tails = 0, helpers = 0, overdue = 0, preempted = 0, fencing_raises = 0;
 };
 
 class Core {
@@ -51,16 +51,18 @@
 
   const Counters& counters() const { return counters_; }
   // For operators and tests.
-  bool Owns(int part) const { return parts_[static_cast<size_t>(part)].mine; }
+  bool IsLeader(int shard_id) const { return shards_[static_cast<size_t>(shard_id)].is_leader; }
   bool Synced() const { return synced_; }
-  const Roster& RosterOf(int part) const { return parts_[static_cast<size_t>(part)].roster; }
+  const AssignmentTable& AssignmentsOf(int shard_id) const {
+    return shards_[static_cast<size_t>(shard_id)].assignments;
+  }
   std::string MetricsText(Micros now) const;
 
  private:
   struct AttemptInfo;
   struct MachineInfo;
 
-  // --- view (view.cc): what the state service holds, as last heard -----------
+  // --- replica (replica.cc): what the state service holds, as last heard -----------
   struct JobEntry {
     JobRecord record;  // the specification is dropped once the job is over
     uint64_t version = 0;
@@ -69,18 +71,18 @@
     uint64_t version = 0;
     std::vector<std::string> names;  // of its machines
   };
-  // What a part's attempts use, counted once for each change of its roster.
+  // What a shard's attempts use, counted once for each change of its assignment table.
   struct Use {
     std::map<std::string, Share> teams;
     std::unordered_map<std::string, int> jobs;  // attempts
   };
-  // The same of one machine, for comparing parts.
+  // The same of one machine, for comparing shards.
   struct MachineUse {
-    const RosterMachine* machine = nullptr;
+    const AssignedMachine* machine = nullptr;
     Amount all;
     Amount critical;               // by work of the highest priority
     std::set<std::string> images;  // of its tasks
-    // Of the parts that are ours, in the order of the machine's attempts.
+    // Of the shards that are ours, in the order of the machine's attempts.
     struct Slot {
       AttemptInfo* info = nullptr;
       const JobEntry* job = nullptr;
@@ -88,30 +90,30 @@
     MachineInfo* info = nullptr;
     std::vector<Slot> slots;
   };
-  struct Part {
-    uint64_t claim_version = 0;  // 0: nobody holds it
-    Claim claim;
+  struct Shard {
+    uint64_t leadership_version = 0;  // 0: nobody holds it
+    Leadership leadership;
     std::map<int, Chunk> chunks;
-    Roster roster;
+    AssignmentTable assignments;
     std::unordered_map<std::string, int> chunk_of;  // of its machines, as stored
     Use use;
     std::vector<MachineUse> machine_use;
     size_t attempts = 0;
     bool any_leaving = false;
-    bool sync_due = false;  // the roster changed
+    bool sync_due = false;  // the assignment table changed
     uint64_t progress_version = 0;
     Progress progress;
-    // Ownership.
-    bool mine = false;
-    uint64_t my_claim = 0;     // kept after a loss, to go on answering reports
-    uint64_t rival_claim = 0;  // highest claim of another node that we know of
-    std::string rival;
-    std::string last_owner;  // of the claims that we saw, other than ours
-    Micros absent_since = 0;
-    Micros claimed_at = 0;
+    // Leadership.
+    bool is_leader = false;
+    uint64_t epoch = 0;        // kept after a loss, to go on answering reports
+    uint64_t rival_epoch = 0;  // highest epoch of another node that we know of
+    std::string rival_leader;
+    std::string previous_leader;  // of the leadership records that we saw, other than ours
+    Micros leaderless_since = 0;
+    Micros elected_at = 0;
     int silent = 0;  // machines that were up and are missed
-    Micros no_claim_before = 0;
-    bool claiming = false;
+    Micros no_election_before = 0;
+    bool acquiring = false;
     bool releasing = false;
     // Rounds.
     bool committing = false;
@@ -123,19 +125,19 @@
     Micros round_at = 0;
     Micros cleanup_at = 0;
     int conflicts = 0;
-    Micros take_after = 0;    // other parts are left alone until then
-    Micros explained_at = 0;  // last log of why something critical waits
-    Micros calm_since = 0;    // nothing has waited since
+    Micros acquire_after = 0;  // other shards are left alone until then
+    Micros explained_at = 0;   // last log of why something critical waits
+    Micros calm_since = 0;     // nothing has waited since
     Micros consolidate_at = 0;
-    Micros changed_at = 0;  // last change of the roster
+    Micros changed_at = 0;  // last change of the assignment table
     Micros progress_at = 0;
     bool progress_dirty = false;
     uint32_t batch = 0;
-    Micros tell_at = 0;     // next line in the log of what it has
-    int window_at = 0;      // the chunk whose turn it is
-    int narrow = 0;         // rounds that decide little, after one that did not fit
-    double peak = 0;        // of the cpus that arrays wanted, and when it was
-    double array_peak = 0;  // the same, faded
+    Micros next_state_log = 0;  // next line in the log of what it has
+    int window_at = 0;          // the chunk whose turn it is
+    int narrow = 0;             // rounds that decide little, after one that did not fit
+    double peak = 0;            // of the cpus that arrays wanted, and when it was
+    double array_peak = 0;      // the same, faded
     Micros peak_at = 0;
   };
 
@@ -145,25 +147,25 @@
   void StartWatch(Micros now);
   void ApplyPut(Micros now, const std::string& key, const std::string& value, uint64_t version);
   void ApplyErase(Micros now, const std::string& key, uint64_t version);
-  void ApplyChunk(Micros now, int part, int chunk, const std::string& value, uint64_t version);
+  void ApplyChunk(Micros now, int shard_id, int chunk, const std::string& value, uint64_t version);
   // Once a batch of changes has been applied.
-  void SettleRosters(Micros now);
+  void ReindexShards(Micros now);
   void DropFinishedSpec(JobEntry* entry);
-  int PartOfMachine(const std::string& name) const;
+  int ShardOfMachine(const std::string& name) const;
 
-  // --- ownership (ownership.cc) ----------------------------------------------
-  void Gossip(Micros now);
-  // `seen`: the receiver's view holds all up to this revision.
-  mesh::Gossip MakeGossip(Micros now, bool warm, uint64_t seen) const;
-  void HearCancel(Micros now, const std::string& id);
-  void TakeGossip(Micros now, const std::string& from, const mesh::Gossip& gossip);
+  // --- leadership (leadership.cc) ----------------------------------------------
+  void Heartbeat(Micros now);
+  // `seen`: the receiver's replica holds all up to this revision.
+  mesh::Heartbeat MakeHeartbeat(Micros now, bool ready, uint64_t seen) const;
+  void LearnCancellation(Micros now, const std::string& id);
+  void HandleHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
   void RunLease(Micros now);
-  void RunClaims(Micros now);
-  void TryClaim(Micros now, int part);
-  void OnClaimed(Micros now, int part, uint64_t revision);
-  void LoseClaim(Micros now, int part, const char* why);
-  void HandBack(Micros now, int part);
-  std::string OwnerLabel(int part) const;
+  void RunElections(Micros now);
+  void AcquireLeadership(Micros now, int shard_id);
+  void OnElected(Micros now, int shard_id, uint64_t revision);
+  void LoseLeadership(Micros now, int shard_id, const char* why);
+  void HandBack(Micros now, int shard_id);
+  std::string LeaderLabel(int shard_id) const;
   // Until when reports may be answered: no peer can have accepted a cancel
   // early enough for its tasks to outlive `cancel` because of us.
   bool MayRenew(Micros now) const;
@@ -179,15 +181,15 @@
     int tries = 0;
   };
   // A user's request until its answer. When we cannot reach the state service,
-  // or it is slow, a sibling that can is asked as well; the first good answer
+  // or it is slow, a peer that can is asked as well; the first good answer
   // counts. Every request may be carried out more than once without harm.
   struct OpenRequest {
     Request request;
     Micros since = 0;
-    uint64_t forward = 0;  // its id at the sibling; 0: not forwarded
+    uint64_t forward = 0;  // its id at the peer; 0: not forwarded
     Micros forwarded_at = 0;
     bool tried = false;
-    bool refused = false;  // our own answer, kept while the sibling works
+    bool refused = false;  // our own answer, kept while the peer works
     Reply refusal;
   };
   void Route(Micros now, const Request& request);
@@ -209,29 +211,29 @@
     double now_free = 0;
     int placeable = 0;   // tasks that could start now
     int machines = 0;    // that a task fits on once they are empty
-    int warm = 0;        // the same where its image is and nothing has to make way
-    int warm_soon = 0;   // and with what makes way for it
+    int ready = 0;       // the same where its image is and nothing has to make way
+    int ready_soon = 0;  // and with what makes way for it
     bool owned = false;  // by a node that lives
   };
   std::vector<Room> RoomsFor(const JobSpec& spec);
-  // Cpus that wait in each part for work of at least each priority.
+  // Cpus that wait in each shard for work of at least each priority.
   using Waits = std::vector<std::array<int64_t, 4>>;
   const Waits& WaitingCpus();
-  int PartForJob(const JobSpec& spec);
+  int ShardForJob(const JobSpec& spec);
   // Empty: it can run.
   std::string NeverRuns(const JobSpec& spec) const;
 
   // Answers in a row without effect after which a machine gets no more work.
-  static constexpr int kMostUnheeded = 2;
+  static constexpr int kMaxIgnoredAnswers = 2;
 
   // --- workers (workers.cc) ----------------------------------------------------
   struct AttemptInfo {
     std::string machine;
-    int part = 0;
-    uint64_t mark = 0;         // of the last time that the roster had it
+    int shard_id = 0;
+    uint64_t mark = 0;         // of the last time that the assignment table had it
     bool fresh = false;        // decided by this process: its start is ours to send
     bool seen = false;         // a report had it
-    bool gone = false;         // proven gone; leaves the roster at the next commit
+    bool gone = false;         // proven gone; leaves the assignment table at the next commit
     uint64_t start_token = 0;  // of the direct command that started it
     bool direct = false;       // its start is in a direct command without an answer yet
     bool moved = false;        // is being moved for the tail
@@ -250,17 +252,17 @@
     uint64_t session = 0;
     uint64_t seq = 0;
     uint64_t token_seen = 0;
-    uint64_t fence = 0;       // our token for it, where higher than the claim's
-    uint64_t need_token = 0;  // absences prove nothing until the worker saw this
-    Micros heard = 0;         // last report or answer
-    Micros since = 0;         // when we began to care for it
+    uint64_t fencing_token = 0;   // our token for it, where higher than the epoch's
+    uint64_t required_token = 0;  // absences prove nothing until the worker saw this
+    Micros heard = 0;             // last report or answer
+    Micros since = 0;             // when we began to care for it
     Micros first_heard = 0;
-    Micros quiet_since = 0;  // a sibling that owned it missed it since then
+    Micros reported_silent_since = 0;  // a peer that owned it missed it since then
     // Whether our answers reach it. Its reports may while these do not.
     Micros answered_at = 0;        // last 200 to a report of this session
     std::vector<Attempt> ordered;  // starts and reaps of the last answer
-    int unheeded = 0;              // answers in a row whose orders did nothing
-    int lapses = 0;                // leases in a row that ended although we answered
+    int ignored_answers = 0;       // answers in a row whose orders did nothing
+    int lease_losses = 0;          // leases in a row that ended although we answered
     bool direct_busy = false;
     int direct_failures = 0;
     Micros no_direct_before = 0;
@@ -273,131 +275,132 @@
     bool returning = false;
     Micros return_at = 0;
     Micros idle_since = 0;
-    Micros avoid_until = 0;    // refused a start for lack of room
-    uint64_t owned_claim = 0;  // claim under which it is in a roster of ours
-    int last_part = -1;        // that had it
-    bool drain = false;        // being cleared to be given back
-    bool give_up = false;      // to be returned even with tasks on it
+    Micros avoid_until = 0;       // refused a start for lack of room
+    uint64_t assigned_epoch = 0;  // leadership under which it is in an assignment table of ours
+    int last_shard = -1;          // that had it
+    bool drain = false;           // being cleared to be given back
+    bool give_up = false;         // to be returned even with tasks on it
     std::vector<TaskReport> tasks;
     std::map<std::string, Micros> images;  // by last use
     std::map<std::string, double> image_gb;
-    // As a non-owner.
+    // As a non-leader.
     Micros redirected_at = 0;
     std::string redirected_to;
     Micros relay_until = 0;
   };
   void OnReport(Micros now, uint64_t request, const std::string& relay_from, uint64_t relay_id,
                 const std::string& body);
-  // Whether to keep the leases of a part's workers alive for an owner that ended
+  // Whether to keep the leases of a shard's workers alive for a leader that ended
   // while nobody can reach the state service to take its place.
-  bool MayCare(Micros now, int part, const Report& report) const;
+  bool MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const;
   void AnswerReport(uint64_t request, const std::string& relay_from, uint64_t relay_id, int status,
                     std::string body);
   // Stops of what a report shows of jobs that are over: each answer that renews a lease
   // bears them.
   std::vector<Command> StopsOfOver(const Report& report) const;
   void NoteAnswer(Micros now, MachineInfo* info, const std::vector<Command>& orders);
-  void CheckHeeded(Micros now, int part, MachineInfo* info, const Report& report, bool new_session);
-  bool TakeReport(Micros now, int part, const RosterMachine& machine, const Report& report,
-                  bool direct);
-  std::vector<Command> MakeOrders(Micros now, int part, const RosterMachine& machine,
+  void CheckAnswersTakeEffect(Micros now, int shard_id, MachineInfo* info, const Report& report,
+                              bool new_session);
+  bool ProcessReport(Micros now, int shard_id, const AssignedMachine& machine, const Report& report,
+                     bool direct);
+  std::vector<Command> MakeOrders(Micros now, int shard_id, const AssignedMachine& machine,
                                   const Report& report);
-  void TaskExited(Micros now, int part, const RosterMachine& machine, const Attempt& attempt,
+  void TaskExited(Micros now, int shard_id, const AssignedMachine& machine, const Attempt& attempt,
                   AttemptInfo* info, const TaskReport& task);
-  void MarkGone(int part, const Attempt& attempt, AttemptInfo* info);
-  void Push(Micros now, int part, const std::string& machine);
-  void Probe(Micros now, int part, const std::string& machine);
-  // Tokens leave room below each revision for fences, which so need no commit: no other
-  // claim or move has the same revision, and all later ones have higher tokens.
-  static constexpr int kFenceBits = 20;
-  static uint64_t TokenAt(uint64_t revision) { return revision << kFenceBits; }
-  uint64_t TokenOf(int part, const MachineInfo& info) const;
+  void MarkGone(int shard_id, const Attempt& attempt, AttemptInfo* info);
+  void Push(Micros now, int shard_id, const std::string& machine);
+  void Probe(Micros now, int shard_id, const std::string& machine);
+  // Tokens leave room below each revision for fencing tokens, which so need no commit: no other
+  // election or move has the same revision, and all later ones have higher tokens.
+  static constexpr int kFencingBits = 20;
+  static uint64_t TokenForEpoch(uint64_t revision) { return revision << kFencingBits; }
+  uint64_t TokenOf(int shard_id, const MachineInfo& info) const;
   // Absences on the machine prove nothing, and commands up to `token` may still run, until
   // it has seen a higher token, which it is given from now on.
-  void Fence(int part, MachineInfo* info, uint64_t token);
+  void RaiseFencingToken(int shard_id, MachineInfo* info, uint64_t token);
   void StopAttempt(Micros now, const Attempt& attempt, AttemptInfo* info, Micros grace);
   void StopJob(Micros now, const std::string& job);
   bool JobOver(const std::string& job) const;  // cancelled or done
-  void Touch(int part) { parts_[static_cast<size_t>(part)].dirty = true; }
-  void TouchImage(MachineInfo* info, const std::string& type, const std::string& image, double gb,
-                  Micros now);
+  void MarkDirty(int shard_id) { shards_[static_cast<size_t>(shard_id)].dirty = true; }
+  void NoteImageUse(MachineInfo* info, const std::string& type, const std::string& image, double gb,
+                    Micros now);
 
   // --- rounds (rounds, placing, taking, preemption, helping, commit .cc) ---------
   struct JobRun {
-    int part = 0;
+    int shard_id = 0;
     std::vector<uint8_t> tasks;  // kWaiting, kPlaced, kDone
     int done = 0;
     int placed = 0;
     std::vector<int> placed_list;
     int hint = 0;  // no waiting task before this one
     std::vector<Micros> durations;
-    std::set<int> moved;     // tasks that were moved to steady machines once
-    Micros unmet_since = 0;  // waits without a machine since then
-    Micros move_at = 0;      // when it may look for another part again
+    std::set<int> moved;        // tasks that were moved to steady machines once
+    Micros unplaced_since = 0;  // waits without a machine since then
+    Micros move_at = 0;         // when it may look for another shard again
   };
   enum : uint8_t { kWaiting = 0, kPlaced = 1, kDone = 2 };
   JobRun* RunOf(const std::string& job);
-  void LoadRun(int part, const std::string& id, const JobEntry& entry);
-  void SyncPart(Micros now, int part);
-  Micros RoundPace(const Part& p) const;
+  void LoadRun(int shard_id, const std::string& id, const JobEntry& entry);
+  void SyncShard(Micros now, int shard_id);
+  Micros RoundPace(const Shard& shard) const;
   void RunRounds(Micros now);
-  struct Draft;
-  void Round(Micros now, int part);
-  void Tell(int part, const Draft& draft);
+  struct Plan;
+  void Round(Micros now, int shard_id);
+  void LogShardState(int shard_id, const Plan& plan);
   struct Offer {
     const MachineType* type = nullptr;
     std::string zone;
   };
-  void ChooseWindow(Part* p, Draft* draft) const;
-  static void Reserve(Draft* draft, const JobSpec& spec);
-  static void Withdraw(Draft* draft, const JobSpec& spec, size_t begun);
+  void ChooseWindow(Shard* shard, Plan* plan) const;
+  static void Reserve(Plan* plan, const JobSpec& spec);
+  static void Withdraw(Plan* plan, const JobSpec& spec, size_t begun);
   static std::string ShapeOf(const JobSpec& spec);
-  void LookElsewhere(Micros now, int part, Draft* draft);
-  bool KnowsItsMachines(Micros now, int part) const;
-  void DraftFleet(Micros now, int part, Draft* draft);
-  void DraftTail(Micros now, int part, Draft* draft);
-  void DraftPlacement(Micros now, int part, Draft* draft);
-  void PreemptTeam(Micros now, int part, Draft* draft, const JobSpec& spec);
-  void LookForLesser(Draft* draft);
-  void DraftPreemption(Micros now, int part, Draft* draft, const JobSpec& spec, int tasks);
-  bool DraftTake(Micros now, int part, Draft* draft, const JobSpec& spec);
-  bool DraftShare(Micros now, int part, Draft* draft, const Team& team, const Share& want);
-  void Commit(Micros now, int part, Draft* draft);
-  void OnCommitted(Micros now, int part, const Draft& draft);
-  void BeginDraft(Micros now, int part, Draft* draft) const;
-  PlaceMachine EmptyMachine(Micros now, const RosterMachine& machine) const;
-  bool Usable(Micros now, const RosterMachine& machine, const MachineInfo& info) const;
-  Use UseOf(const Roster& roster) const;
-  int64_t SteadyHeadroom(int part) const;
-  bool SpreadServices(int part) const;
+  void FindAcquirable(Micros now, int shard_id, Plan* plan);
+  bool KnowsItsMachines(Micros now, int shard_id) const;
+  void PlanRentals(Micros now, int shard_id, Plan* plan);
+  void PlanTailHelp(Micros now, int shard_id, Plan* plan);
+  void PlanPlacement(Micros now, int shard_id, Plan* plan);
+  void PreemptTeam(Micros now, int shard_id, Plan* plan, const JobSpec& spec);
+  void FindPreemptible(Plan* plan);
+  void PlanPreemption(Micros now, int shard_id, Plan* plan, const JobSpec& spec, int tasks);
+  bool PlanAcquisition(Micros now, int shard_id, Plan* plan, const JobSpec& spec);
+  bool PlanQuotaTransfer(Micros now, int shard_id, Plan* plan, const Team& team, const Share& want);
+  void Commit(Micros now, int shard_id, Plan* plan);
+  void OnCommitted(Micros now, int shard_id, const Plan& plan);
+  void BeginPlan(Micros now, int shard_id, Plan* plan) const;
+  PlaceMachine EmptyMachine(Micros now, const AssignedMachine& machine) const;
+  bool Usable(Micros now, const AssignedMachine& machine, const MachineInfo& info) const;
+  Use UseOf(const AssignmentTable& assignments) const;
+  int64_t SteadyHeadroom(int shard_id) const;
+  bool SpreadServices(int shard_id) const;
   // The last moment at which the rest of a job may start and still be in time.
   Micros LatestStart(const JobRecord& record) const;
   std::vector<Micros> LatestStarts(const JobRecord& record) const;
-  bool LastOfZone(const Draft& draft, const PlaceMachine& m) const;
-  bool LastWarm(const Draft& draft, const PlaceMachine& m) const;
-  void Consolidate(Micros now, int part, Draft* draft);
-  void DraftMoves(Micros now, int part, Draft* draft);
-  uint64_t NextNumber(int part, Draft* draft) const;
-  void DraftAdoption(Micros now, int part, Draft* draft);
-  void DraftReturns(Micros now, int part, Draft* draft);
-  void AddHire(int part, Draft* draft, const Offer& offer, bool spot, int count,
-               const std::string& helps, const std::string& reason);
+  bool LastOfZone(const Plan& plan, const PlaceMachine& m) const;
+  bool LastWithImage(const Plan& plan, const PlaceMachine& m) const;
+  void Consolidate(Micros now, int shard_id, Plan* plan);
+  void PlanJobMoves(Micros now, int shard_id, Plan* plan);
+  uint64_t NextNumber(int shard_id, Plan* plan) const;
+  void PlanAdoption(Micros now, int shard_id, Plan* plan);
+  void PlanReturns(Micros now, int shard_id, Plan* plan);
+  void AddRental(int shard_id, Plan* plan, const Offer& offer, bool spot, int count,
+                 const std::string& helps, const std::string& reason);
 
   // --- fleet (fleet.cc, cloud.cc, silence.cc) ----------------------------------
   void RunCloud(Micros now);
   void AskTypes(Micros now);
   void AskMachines(Micros now, const std::string& after);
-  void TakeTypes(Micros now, const std::string& body);
-  void TakeMachines(Micros now);
-  void SendHire(Micros now, int part, const std::string& request);
-  void SendReturns(Micros now, int part);
+  void StoreTypes(Micros now, const std::string& body);
+  void ProcessMachineList(Micros now);
+  void SendRental(Micros now, int shard_id, const std::string& request);
+  void SendReturns(Micros now, int shard_id);
   std::set<std::string> ZonesCutOff(Micros now) const;
-  void JudgeMachines(Micros now, int part);
+  void JudgeMachines(Micros now, int shard_id);
   const MachineType* TypeOf(const std::string& name) const;
   // The cheapest type and zone of a kind that fits `each` and is not paused.
   bool PickOffer(Micros now, const JobSpec& spec, const JobSpread& spread, bool spot,
                  const std::map<std::string, int>& in_zone, Offer* offer) const;
-  static std::map<std::string, int> InZones(const Roster& roster);
+  static std::map<std::string, int> InZones(const AssignmentTable& assignments);
   static std::string OfferKey(const std::string& type, const std::string& zone, bool spot);
 
   // --- plumbing (core.cc) --------------------------------------------------------------
@@ -413,7 +416,7 @@
   const Team* FindTeam(const std::string& name) const;
   Micros WallNow(Micros now) const { return now + wall_offset_; }
 
-  const Settings s_;
+  const Settings settings_;
   const uint64_t boot_;
   const Micros started_;
   Micros wall_offset_ = 0;
@@ -422,7 +425,7 @@
   uint64_t next_call_ = 1;
   std::unordered_map<uint64_t, Handler> pending_;
 
-  // View.
+  // Replica.
   bool synced_ = false;
   bool listing_ = false;
   uint64_t list_revision_ = 0;
@@ -432,12 +435,12 @@
     uint64_t version = 0;
   };
   std::map<std::string, ListItem> list_items_;
-  uint64_t watch_revision_ = 0;
+  uint64_t replica_revision_ = 0;
   bool watching_ = false;
   Micros watched_at_ = 0;  // last answer of a watch, or of a whole list
   Micros watch_retry_ = 0;
-  Micros view_at_ = 0;   // the view holds every change made before this time
-  Micros state_ok_ = 0;  // last answer of the state service
+  Micros replica_time_ = 0;  // the replica holds every change made before this time
+  Micros state_ok_ = 0;      // last answer of the state service
   std::unordered_map<std::string, JobEntry> jobs_;
   std::set<std::string> open_jobs_;
   Waits waits_;
@@ -445,10 +448,10 @@
   bool spread_seen_ = false;  // some service spreads over zones
   std::set<std::string> service_images_;
   std::set<std::string> service_teams_;  // that ever had a service
-  std::vector<Part> parts_;
-  std::map<std::string, int> machine_part_;
+  std::vector<Shard> shards_;
+  std::map<std::string, int> machine_shard_;
 
-  // Ownership.
+  // Leadership.
   uint64_t lease_ = 0;
   bool lease_busy_ = false;
   Micros lease_sent_ = 0;
@@ -456,31 +459,31 @@
   Micros lease_retry_ = 0;
   struct Peer {
     std::string label;
-    Micros heard = 0;      // last message
-    Micros known = 0;      // all cancels that it knew then are known to us
-    uint64_t seen = 0;     // its view holds all up to this revision
-    Micros state_age = 0;  // at `heard`
+    Micros heard = 0;             // last message
+    Micros cancels_known_at = 0;  // all cancels that it knew then are known to us
+    uint64_t seen = 0;            // its replica holds all up to this revision
+    Micros state_age = 0;         // at `heard`
     struct Sent {
       Micros at = 0;
       uint64_t seen = 0;  // of ours, as the ping told it
     };
-    std::map<uint64_t, Sent> pings;  // in flight
-    std::set<uint64_t> holds;        // parts that it says are its own
-    std::set<std::string> quiet;     // machines that it missed when it last spoke
+    std::map<uint64_t, Sent> pings;         // in flight
+    std::set<uint64_t> holds;               // shards that it says are its own
+    std::set<std::string> silent_machines;  // machines that it missed when it last spoke
   };
   std::map<std::string, Peer> peers_;
   Micros now_ = 0;  // of the last tick
   uint64_t ping_seq_;
-  Micros next_gossip_ = 0;
-  Micros next_warm_ = 0;
-  std::map<uint64_t, std::string> cancelled_;  // of the view, by revision; the newest ones
-  uint64_t cancelled_from_ = 0;                // all of the view's above this revision
-  std::set<std::string> heard_cancels_;        // from peers, perhaps before the view
+  Micros next_heartbeat_ = 0;
+  Micros next_cached_images_ = 0;
+  std::map<uint64_t, std::string> cancelled_;  // of the replica, by revision; the newest ones
+  uint64_t cancelled_from_ = 0;                // all of the replica's above this revision
+  std::set<std::string> reported_cancels_;     // from peers, perhaps before the replica
 
   // Acceptance.
   std::map<uint64_t, OpenRequest> open_;
   std::map<uint64_t, uint64_t> forwards_;                         // forward id -> request
-  std::map<uint64_t, std::pair<std::string, uint64_t>> foreign_;  // request -> sibling, its id
+  std::map<uint64_t, std::pair<std::string, uint64_t>> foreign_;  // request -> peer, its id
   uint64_t next_foreign_;
   std::deque<Query> queries_;
   bool query_busy_ = false;
@@ -489,7 +492,7 @@
   // Workers.
   std::map<Attempt, AttemptInfo> attempts_;
   std::unordered_map<std::string, MachineInfo> machines_;
-  std::map<std::string, Report> unknown_;  // machines in no roster, by last report
+  std::map<std::string, Report> unknown_;  // machines in no assignment table, by last report
   uint64_t next_relay_;
   std::map<uint64_t, std::pair<uint64_t, Micros>> relays_;  // relay id -> request
   Health health_;
@@ -509,26 +512,26 @@
   Micros machines_asked_ = 0;
   std::vector<ListedMachine> listed_;
   std::map<std::string, Micros> stray_since_;
-  std::map<std::string, Micros> departed_;  // left the rosters: lists still show them
+  std::map<std::string, Micros> departed_;  // left the assignment tables: lists still show them
   struct Pause {
     Micros until = 0;
     int refusals = 0;
   };
   std::map<std::string, Pause> offer_pause_;  // type/zone/kind
-  struct HireState {
+  struct RentalState {
     bool sent = false;
     bool done = false;
     std::vector<std::string> machines;
     Micros retry_at = 0;
   };
-  std::map<std::string, HireState> hires_;
-  std::set<std::string> returned_;  // confirmed by the cloud, to leave the roster
+  std::map<std::string, RentalState> rental_states_;
+  std::set<std::string> returned_;  // confirmed by the cloud, to leave the assignment table
   uint64_t mark_ = 0;
   std::map<std::string, Micros> free_since_;  // others' machines, for taking
   Micros next_judge_ = 0;
   bool some_silent_ = false;
 
-  Turns write_turns_;  // of the parts that are ours
+  Turns write_turns_;  // of the shards that are ours
   Budget write_budget_;
   Budget state_budget_;
   Budget cloud_budget_;
--- a/src/core/fleet.cc
+++ b/src/core/fleet.cc
@@ -3,7 +3,7 @@
 #include <cmath>
 
 #include "core/core.h"
-#include "core/draft.h"
+#include "core/plan.h"
 
 namespace troutlink {
 
@@ -11,8 +11,8 @@
 constexpr double kSlowBoot = 1.8;  // of the usual boot time
 // Room in a zone, in thousandths of cpus, that counts as having a place there.
 constexpr int64_t kZoneRoom = 4000;
-constexpr int kMostPerRental = 50;
-constexpr size_t kMostHires = 6;  // of a part, unanswered
+constexpr int kMaxPerRental = 50;
+constexpr size_t kMaxRentals = 6;  // of a shard, unanswered
 int TasksPer(const JobSpec& spec, const MachineType& type) {
   int64_t n = 1 << 20;
   auto dim = [&n](int64_t each, int64_t size) {
@@ -67,38 +67,38 @@
   return found;
 }
 
-std::map<std::string, int> Core::InZones(const Roster& roster) {
+std::map<std::string, int> Core::InZones(const AssignmentTable& assignments) {
   std::map<std::string, int> out;
-  for (const auto& [name, m] : roster.machines) ++out[m.zone];
+  for (const auto& [name, m] : assignments.machines) ++out[m.zone];
   return out;
 }
 
-void Core::AddHire(int part, Draft* draft, const Offer& offer, bool spot, int count,
-                   const std::string& helps, const std::string& reason) {
-  Hire hire;
-  // Unique for ever: the number comes from the roster, in whose commit it is
+void Core::AddRental(int shard_id, Plan* plan, const Offer& offer, bool spot, int count,
+                     const std::string& helps, const std::string& reason) {
+  Rental rental;
+  // Unique for ever: the number comes from the assignment table, in whose commit it is
   // used up before the request is sent.
-  hire.ask.request =
-      "troutlink-" + std::to_string(part) + "-" + std::to_string(NextNumber(part, draft));
-  hire.ask.type = offer.type->name;
-  hire.ask.zone = offer.zone;
-  hire.ask.spot = spot;
-  hire.ask.count = std::min(count, kMostPerRental);
-  hire.helps = helps;
-  draft->hires.push_back(hire.ask.request);
-  Log(LogLine::Level::kDebug, "hire " + std::to_string(hire.ask.count) + " " + hire.ask.type +
+  rental.ask.request =
+      "troutlink-" + std::to_string(shard_id) + "-" + std::to_string(NextNumber(shard_id, plan));
+  rental.ask.type = offer.type->name;
+  rental.ask.zone = offer.zone;
+  rental.ask.spot = spot;
+  rental.ask.count = std::min(count, kMaxPerRental);
+  rental.helps = helps;
+  plan->rentals.push_back(rental.ask.request);
+  Log(LogLine::Level::kDebug, "rent " + std::to_string(rental.ask.count) + " " + rental.ask.type +
                                   (spot ? " spot" : " steady") + " for " + reason);
-  draft->roster.hires[hire.ask.request] = hire;
-  draft->urgent = true;
+  plan->assignments.rentals[rental.ask.request] = rental;
+  plan->urgent = true;
 }
 
-// Just after a claim the machines that are up have not reported here yet: what seems
+// Just after an election the machines that are up have not reported here yet: what seems
 // to lack then is not rented before most of them did, or had the time to.
-bool Core::KnowsItsMachines(Micros now, int part) const {
-  const Part& p = parts_[static_cast<size_t>(part)];
-  if (now - p.claimed_at > 2 * s_.report + 2 * kSecond) return true;
+bool Core::KnowsItsMachines(Micros now, int shard_id) const {
+  const Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  if (now - shard.elected_at > 2 * settings_.report + 2 * kSecond) return true;
   size_t up = 0, unknown = 0;
-  for (const MachineUse& use : p.machine_use) {
+  for (const MachineUse& use : shard.machine_use) {
     if (use.machine->addr.empty()) continue;
     ++up;
     if (use.info == nullptr || use.info->session == 0) ++unknown;
@@ -106,8 +106,8 @@
   return unknown * 10 <= up;
 }
 
-void Core::DraftFleet(Micros now, int part, Draft* draft) {
-  if (draft->roster.hires.size() >= kMostHires || !KnowsItsMachines(now, part)) return;
+void Core::PlanRentals(Micros now, int shard_id, Plan* plan) {
+  if (plan->assignments.rentals.size() >= kMaxRentals || !KnowsItsMachines(now, shard_id)) return;
   // Room that is on its way: machines that boot, and rentals under way.
   struct Coming {
     std::string type, zone, helps;
@@ -116,7 +116,7 @@
   };
   std::vector<Coming> coming;
   int64_t steady_free = 0, spot_free = 0;
-  for (const auto& [name, m] : draft->roster.machines) {
+  for (const auto& [name, m] : plan->assignments.machines) {
     const MachineType* type = TypeOf(m.type);
     auto info = machines_.find(name);
     if (type == nullptr || m.leaving) continue;
@@ -128,20 +128,20 @@
         now - info->second.since > static_cast<Micros>(kSlowBoot * static_cast<double>(type->boot));
     if (!up && !lost && !stuck) coming.push_back({m.type, m.zone, m.helps, m.spot, type->size});
   }
-  for (const auto& [id, h] : draft->roster.hires) {
+  for (const auto& [id, h] : plan->assignments.rentals) {
     const MachineType* type = TypeOf(h.ask.type);
     if (type == nullptr) continue;
     for (int i = 0; i < h.ask.count; ++i) {
       coming.push_back({h.ask.type, h.ask.zone, h.helps, h.ask.spot, type->size});
     }
   }
-  for (const PlaceMachine& m : draft->machines) {
+  for (const PlaceMachine& m : plan->machines) {
     if (!m.usable || !m.helps.empty()) continue;
-    (m.spot ? spot_free : steady_free) += std::max<int64_t>(0, m.free.cpus) + (m.spot ? 0 : m.soft);
+    (m.spot ? spot_free : steady_free) += std::max<int64_t>(0, m.free.cpus);
   }
-  const int64_t headroom = draft->headroom;
+  const int64_t headroom = plan->headroom;
   // What is rented is added up over the jobs: few calls, of many machines each.
-  std::map<std::string, int> in_zone = InZones(draft->roster);
+  std::map<std::string, int> in_zone = InZones(plan->assignments);
   struct Want {
     Offer offer;
     bool spot = false;
@@ -158,17 +158,17 @@
     in_zone[offer.zone] += count;
   };
   double array_cpus = 0, ahead = 0;
-  for (const PlaceMachine& m : draft->machines) {
+  for (const PlaceMachine& m : plan->machines) {
     if (m.usable && m.spot) array_cpus += static_cast<double>(m.size.cpus) / 1000;
   }
   for (const Coming& c : coming) {
     if (c.spot) array_cpus += static_cast<double>(c.free.cpus) / 1000;
   }
-  for (const Draft::Unmet& u : draft->unmet) {
+  for (const Plan::Unplaced& u : plan->unplaced) {
     const JobSpec& spec = *u.spec;
     ahead += static_cast<double>(u.tasks * spec.each.cpus) / 1000 * ToSeconds(spec.estimate);
-    JobSpread spread = draft->SpreadOf(spec);
-    double share = spec.kind == JobKind::kService ? 1.0 : s_.op.rent_share();
+    JobSpread spread = plan->SpreadOf(spec);
+    double share = spec.kind == JobKind::kService ? 1.0 : settings_.op.rent_share();
     int left = static_cast<int>(std::ceil(u.tasks * share));
     // Beyond its team's limit a job has no use for machines.
     if (const Team* team = FindTeam(spec.team);
@@ -225,11 +225,11 @@
     if (c.helps.empty()) (c.spot ? spot_free : steady_free) += c.free.cpus;
   }
   // Services that spread over zones need a steady machine in two of them.
-  if (spread_seen_ && headroom > 0 && s_.zones.size() > 1) {
+  if (spread_seen_ && headroom > 0 && settings_.zones.size() > 1) {
     std::map<std::string, int64_t> room;
-    for (const PlaceMachine& m : draft->machines) {
+    for (const PlaceMachine& m : plan->machines) {
       if (!m.spot && m.usable && m.helps.empty()) {
-        room[m.zone] += std::max<int64_t>(0, m.free.cpus) + m.soft;
+        room[m.zone] += std::max<int64_t>(0, m.free.cpus);
       }
     }
     for (const Coming& c : coming) {
@@ -264,17 +264,17 @@
     }
   }
   for (const auto& [key, w] : wants) {
-    for (int left = w.count; left > 0 && draft->roster.hires.size() < kMostHires;
-         left -= kMostPerRental) {
-      AddHire(part, draft, w.offer, w.spot, left, "", w.reason);
+    for (int left = w.count; left > 0 && plan->assignments.rentals.size() < kMaxRentals;
+         left -= kMaxPerRental) {
+      AddRental(shard_id, plan, w.offer, w.spot, left, "", w.reason);
     }
   }
 }
 
 // Whether services that spread would miss this machine's zone.
-bool Core::LastOfZone(const Draft& draft, const PlaceMachine& m) const {
-  if (!spread_seen_ || s_.zones.size() < 2) return false;
-  std::map<std::string, int64_t> others = draft.index.RoomByZone(&m);
+bool Core::LastOfZone(const Plan& plan, const PlaceMachine& m) const {
+  if (!spread_seen_ || settings_.zones.size() < 2) return false;
+  std::map<std::string, int64_t> others = plan.index.RoomByZone(&m);
   int zones = 0;
   for (const auto& [z, cpus] : others) zones += cpus >= kZoneRoom ? 1 : 0;
   return zones < 2 && others[m.zone] < kZoneRoom;
@@ -282,17 +282,17 @@
 
 // Whether without this machine too little room is left where some service's
 // image is.
-bool Core::LastWarm(const Draft& draft, const PlaceMachine& m) const {
-  const auto keep = static_cast<int64_t>(1000 * s_.op.image_headroom_cpus());
-  const int64_t own = m.usable ? std::max<int64_t>(0, m.free.cpus) + m.soft : 0;
-  for (int image : m.warm) {
-    const PlaceIndex::Warm& warm = draft.index.warm(image);
-    if (warm.free - own < keep) return true;
-    if (!spread_seen_ || s_.zones.size() < 2) continue;
+bool Core::LastWithImage(const Plan& plan, const PlaceMachine& m) const {
+  const auto keep = static_cast<int64_t>(1000 * settings_.op.image_headroom_cpus());
+  const int64_t own = m.usable ? std::max<int64_t>(0, m.free.cpus) : 0;
+  for (int image : m.service_images) {
+    const PlaceIndex::ImageRoom& image_room = plan.index.with_image(image);
+    if (image_room.free - own < keep) return true;
+    if (!spread_seen_ || settings_.zones.size() < 2) continue;
     // Services that spread start at once only where two zones have it.
     int zones = 0;
     bool here = false;
-    for (const auto& [zone, cpus] : warm.by_zone) {
+    for (const auto& [zone, cpus] : image_room.by_zone) {
       bool room = cpus - (zone == m.zone ? own : 0) >= kZoneRoom;
       zones += room ? 1 : 0;
       here = here || (room && zone == m.zone);
@@ -302,19 +302,19 @@
   return false;
 }
 
-void Core::DraftReturns(Micros now, int part, Draft* draft) {
-  Part& p = parts_[static_cast<size_t>(part)];
+void Core::PlanReturns(Micros now, int shard_id, Plan* plan) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
   int64_t steady_free = 0, spot_free = 0;
-  for (const PlaceMachine& m : draft->machines) {
+  for (const PlaceMachine& m : plan->machines) {
     if (!m.usable || !m.helps.empty()) continue;
-    (m.spot ? spot_free : steady_free) += std::max<int64_t>(0, m.free.cpus) + (m.spot ? 0 : m.soft);
+    (m.spot ? spot_free : steady_free) += std::max<int64_t>(0, m.free.cpus);
   }
-  const int64_t headroom = draft->headroom;
+  const int64_t headroom = plan->headroom;
   std::map<std::string, const PlaceMachine*> placed;
-  for (const PlaceMachine& m : draft->machines) placed[m.name] = &m;
-  const auto spare = static_cast<int64_t>(s_.op.array_headroom_share() * p.array_peak);
-  for (auto& [name, m] : draft->roster.machines) {
-    if (m.leaving || !draft->MayChange(name)) continue;
+  for (const PlaceMachine& m : plan->machines) placed[m.name] = &m;
+  const auto spare = static_cast<int64_t>(settings_.op.array_headroom_share() * shard.array_peak);
+  for (auto& [name, m] : plan->assignments.machines) {
+    if (m.leaving || !plan->MayChange(name)) continue;
     auto it = machines_.find(name);
     auto on = placed.find(name);
     const MachineType* type = TypeOf(m.type);
@@ -322,51 +322,51 @@
     MachineInfo& info = it->second;
     if (info.give_up) {
       m.leaving = true;
-      draft->Change(name);
-      draft->urgent = true;
+      plan->Change(name);
+      plan->urgent = true;
       continue;
     }
     if (!m.attempts.empty() || info.idle_since == 0) continue;
     if (info.drain) {
       m.leaving = true;
-      draft->Change(name);
-      draft->urgent = true;
+      plan->Change(name);
+      plan->urgent = true;
       continue;
     }
     if (!m.helps.empty()) {
       // A helper without a task goes back at once, as soon as none waits for it.
       JobRun* run = RunOf(m.helps);
-      auto help = draft->roster.helps.find(m.helps);
-      bool wanted = run != nullptr && help != draft->roster.helps.end() &&
+      auto help = plan->assignments.helps.find(m.helps);
+      bool wanted = run != nullptr && help != plan->assignments.helps.end() &&
                     help->second.credit > 0 &&
                     run->done + run->placed < static_cast<int>(run->tasks.size());
       if (!wanted) m.leaving = true;
-    } else if (health_.Sick(name) && now - info.idle_since > 2 * kSecond) {
+    } else if (health_.Unhealthy(name) && now - info.idle_since > 2 * kSecond) {
       m.leaving = true;
-    } else if (now - info.idle_since >
-               static_cast<Micros>(s_.op.idle_return_boots() * static_cast<double>(type->boot))) {
+    } else if (now - info.idle_since > static_cast<Micros>(settings_.op.idle_return_boots() *
+                                                           static_cast<double>(type->boot))) {
       if (m.spot) {
         if (spot_free + std::max<int64_t>(0, steady_free - headroom) - type->size.cpus >= spare) {
           spot_free -= type->size.cpus;
           m.leaving = true;
         }
-      } else if (on != placed.end() && !LastOfZone(*draft, *on->second) &&
-                 !LastWarm(*draft, *on->second) &&
+      } else if (on != placed.end() && !LastOfZone(*plan, *on->second) &&
+                 !LastWithImage(*plan, *on->second) &&
                  steady_free - type->size.cpus >=
                      headroom + std::max<int64_t>(0, spare - spot_free)) {
         steady_free -= type->size.cpus;
         m.leaving = true;
         // The next one is judged without it.
-        for (PlaceMachine& gone : draft->machines) {
+        for (PlaceMachine& gone : plan->machines) {
           if (gone.name != name) continue;
-          draft->index.Remove(gone);
+          plan->index.Remove(gone);
           gone.usable = false;
         }
       }
     }
     if (m.leaving) {
-      draft->Change(name);
-      draft->urgent = true;
+      plan->Change(name);
+      plan->urgent = true;
     }
   }
 }
@@ -375,35 +375,36 @@
 // others have room for them and still keep the headroom, the emptiest machine
 // is cleared, replica by replica, and given back. A replica only moves to a
 // machine that has its image: it is away for some ten milliseconds.
-void Core::Consolidate(Micros now, int part, Draft* draft) {
-  Part& p = parts_[static_cast<size_t>(part)];
-  if (!draft->unmet.empty() || !draft->roster.hires.empty()) {
-    p.calm_since = now;
-    for (const auto& [name, m] : draft->roster.machines) machines_[name].drain = false;
+void Core::Consolidate(Micros now, int shard_id, Plan* plan) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  if (!plan->unplaced.empty() || !plan->assignments.rentals.empty()) {
+    shard.calm_since = now;
+    for (const auto& [name, m] : plan->assignments.machines) machines_[name].drain = false;
     return;
   }
-  if (p.calm_since == 0) p.calm_since = now;
-  if (now < p.consolidate_at || now - p.calm_since < FromSeconds(s_.op.consolidate_after_s()))
+  if (shard.calm_since == 0) shard.calm_since = now;
+  if (now < shard.consolidate_at ||
+      now - shard.calm_since < FromSeconds(settings_.op.consolidate_after_s()))
     return;
-  p.consolidate_at = now + 500 * kMilli;
+  shard.consolidate_at = now + 500 * kMilli;
   int64_t steady_free = 0;
-  for (const PlaceMachine& m : draft->machines) {
+  for (const PlaceMachine& m : plan->machines) {
     if (m.usable && !m.spot && m.helps.empty()) {
-      steady_free += std::max<int64_t>(0, m.free.cpus) + m.soft;
+      steady_free += std::max<int64_t>(0, m.free.cpus);
     }
   }
-  const int64_t headroom = draft->headroom;
+  const int64_t headroom = plan->headroom;
   // The one being cleared goes first, else the one with least on it.
   const PlaceMachine* best = nullptr;
   int64_t best_used = 0;
-  for (const PlaceMachine& m : draft->machines) {
+  for (const PlaceMachine& m : plan->machines) {
     const MachineInfo& info = machines_[m.name];
     if (m.spot || !m.helps.empty() || (!m.usable && !info.drain)) continue;
     int64_t used = m.size.cpus - m.free.cpus;
     const MachineType* type = TypeOf(m.type);
     if (type == nullptr) continue;
     if (used <= 0 || (!info.drain && 2 * used > m.size.cpus)) continue;
-    if (!info.drain && (LastOfZone(*draft, m) || LastWarm(*draft, m))) continue;
+    if (!info.drain && (LastOfZone(*plan, m) || LastWithImage(*plan, m))) continue;
     if (!info.drain && steady_free - m.free.cpus - used < headroom) continue;
     // What it saves for each cpu that moves.
     used =
@@ -418,7 +419,7 @@
   if (best == nullptr) return;
   // All of it must have a place elsewhere.
   std::vector<PlaceMachine> others;
-  for (const PlaceMachine& m : draft->machines) {
+  for (const PlaceMachine& m : plan->machines) {
     if (m.name != best->name && m.usable && !m.spot) others.push_back(m);
   }
   std::set<std::string> images;
@@ -429,7 +430,7 @@
   PlaceIndex index(images, &others);
   std::vector<std::pair<Attempt, AttemptInfo*>> moves;
   bool settled = true;
-  for (const Attempt& a : draft->roster.machines[best->name].attempts) {
+  for (const Attempt& a : plan->assignments.machines[best->name].attempts) {
     auto at = attempts_.find(a);
     const JobEntry* job = FindJob(a.job);
     if (at == attempts_.end() || job == nullptr) return;
@@ -439,7 +440,7 @@
     if (spec.kind != JobKind::kService) return;  // will be over by itself
     // A start that is stopped soon was no start.
     if (at->second.running_at == 0 || now - at->second.running_at < 40 * kSecond) return;
-    JobSpread spread = draft->SpreadOf(spec);
+    JobSpread spread = plan->SpreadOf(spec);
     --spread.by_zone[best->zone];
     PlaceRequest request;
     request.spec = &spec;
@@ -456,7 +457,7 @@
   if (!settled || moves.empty()) return;
   ++counters_.consolidated;
   StopAttempt(now, moves.front().first, moves.front().second, 0);
-  Push(now, part, best->name);
+  Push(now, shard_id, best->name);
 }
 
 }  // namespace troutlink
--- a/src/core/health.h
+++ b/src/core/health.h
@@ -40,9 +40,9 @@
   }
   // Several failures, with nothing that ran well between them: of different
   // jobs, or of one job that fails on this machine alone. A job that was tried
-  // nowhere else says nothing of the machine: the only one of a part was once
+  // nowhere else says nothing of the machine: the only one of a shard was once
   // given back for a job that was submitted with a mistake.
-  bool Sick(const std::string& machine) const {
+  bool Unhealthy(const std::string& machine) const {
     auto it = machines_.find(machine);
     if (it == machines_.end() || it->second.failures < machine_failures_) return false;
     for (const std::string& job : it->second.jobs) {
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -32,16 +32,16 @@
   for (const std::string& image : service_images) {
     number_.emplace(image, static_cast<int>(number_.size()));
   }
-  warm_.resize(number_.size());
+  image_room_.resize(number_.size());
   for (PlaceMachine& m : *machines) Add(&m);
 }
 
 void PlaceIndex::Name(PlaceMachine* m) const {
-  m->warm.clear();
+  m->service_images.clear();
   if (m->spot) return;
   auto note = [&](const std::string& image) {
     auto it = number_.find(image);
-    if (it != number_.end()) m->warm.push_back(it->second);
+    if (it != number_.end()) m->service_images.push_back(it->second);
   };
   if (m->cached != nullptr) {
     for (const auto& [image, used] : *m->cached) note(image);
@@ -55,10 +55,10 @@
   steady_free_ += free;
   zone_free_[m.zone] += free;
   if (!m.helps.empty()) return;
-  const int64_t room = free + sign * m.soft;
+  const int64_t room = free;
   room_[m.zone] += room;
-  for (int i : m.warm) {
-    Warm& w = warm_[static_cast<size_t>(i)];
+  for (int i : m.service_images) {
+    ImageRoom& w = image_room_[static_cast<size_t>(i)];
     w.free += room;
     w.by_zone[m.zone] += room;
   }
@@ -72,7 +72,7 @@
 std::map<std::string, int64_t> PlaceIndex::RoomByZone(const PlaceMachine* except) const {
   std::map<std::string, int64_t> out = room_;
   if (except != nullptr && except->usable && !except->spot && except->helps.empty()) {
-    out[except->zone] -= std::max<int64_t>(0, except->free.cpus) + except->soft;
+    out[except->zone] -= std::max<int64_t>(0, except->free.cpus);
   }
   return out;
 }
@@ -124,8 +124,8 @@
     if (best >= 0 && score >= best_score) continue;
     if (keeps_room && !m.spot && r.image_headroom > 0) {
       // A service starts at once only where its image is: room there is kept.
-      bool keeps = std::all_of(m.warm.begin(), m.warm.end(), [&](int image) {
-        return index.warm(image).free - spec.each.cpus >= r.image_headroom;
+      bool keeps = std::all_of(m.service_images.begin(), m.service_images.end(), [&](int image) {
+        return index.with_image(image).free - spec.each.cpus >= r.image_headroom;
       });
       if (!keeps) continue;
     }
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -24,16 +24,14 @@
   std::string helps;
   Amount size;
   Amount free;
-  int64_t soft = 0;  // cpus of work that gives way to services at once
-  Amount lesser;     // taken by work that critical work may push aside
+  Amount preemptible;  // taken by work that critical work may push aside
   double fetch_gb_per_s = 0.1;
-  double price_per_cpu = 0;
   // Images that it holds, by last use, and those that it is fetching.
   const std::map<std::string, Micros>* cached = nullptr;
   std::vector<std::string> fetching;
   // Tasks of each job that are or may be here.
   std::vector<std::pair<std::string, int>> tasks;
-  std::vector<int> warm;  // service images that it has, as the index numbers them
+  std::vector<int> service_images;  // service images that it has, as the index numbers them
 
   bool Cached(const std::string& image) const {
     return cached != nullptr && cached->count(image) != 0;
@@ -62,7 +60,7 @@
 // does not add them all up again.
 class PlaceIndex {
  public:
-  struct Warm {
+  struct ImageRoom {
     int64_t free = 0;  // cpus on usable steady machines that have the image
     std::map<std::string, int64_t> by_zone;
   };
@@ -83,7 +81,7 @@
   // Free cpus on steady machines that are nobody's helpers, by zone; `except`
   // left out.
   std::map<std::string, int64_t> RoomByZone(const PlaceMachine* except) const;
-  const Warm& warm(int image) const { return warm_[static_cast<size_t>(image)]; }
+  const ImageRoom& with_image(int image) const { return image_room_[static_cast<size_t>(image)]; }
 
  private:
   void Name(PlaceMachine* m) const;
@@ -93,7 +91,7 @@
   std::map<std::string, int64_t> zone_free_;
   std::map<std::string, int64_t> room_;
   std::unordered_map<std::string, int> number_;
-  std::vector<Warm> warm_;
+  std::vector<ImageRoom> image_room_;
 };
 
 // Where tasks of one job are or may be, over all machines.
--- a/src/core/placing.cc
+++ b/src/core/placing.cc
@@ -4,8 +4,8 @@
 #include <tuple>
 
 #include "core/core.h"
-#include "core/draft.h"
 #include "core/order.h"
+#include "core/plan.h"
 #include "core/quota.h"
 
 namespace troutlink {
@@ -13,8 +13,8 @@
 namespace {
 constexpr Micros kWholePatience = 500 * kMilli;
 constexpr size_t kOtherConditions = 10;
-constexpr int kMostPreemptions = 32;  // jobs that others make way for in one round
-constexpr int64_t kLendBelow = 10;    // steady cpus for each that is kept free
+constexpr int kMaxPreemptions = 32;  // jobs that others make way for in one round
+constexpr int64_t kLendBelow = 10;   // steady cpus for each that is kept free
 }  // namespace
 
 // By the deadline, and by what the objectives expect of the class; earliest first.
@@ -22,7 +22,7 @@
   const JobSpec& spec = record.spec;
   std::vector<Micros> out;
   if (spec.deadline > 0) out.push_back(spec.deadline - spec.estimate);
-  for (const Objective& o : s_.objectives) {
+  for (const Objective& o : settings_.objectives) {
     if (o.job_class != spec.job_class) continue;
     if (o.kind == "wait" && o.within > 0) out.push_back(o.within);
     if (o.kind == "finished" && o.within > 0) out.push_back(o.within - spec.estimate);
@@ -40,8 +40,8 @@
 
 Micros Core::LatestStart(const JobRecord& record) const { return LatestStarts(record).front(); }
 
-void Core::DraftPlacement(Micros now, int part, Draft* draft) {
-  Part& p = parts_[static_cast<size_t>(part)];
+void Core::PlanPlacement(Micros now, int shard_id, Plan* plan) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
   struct Waiting {
     const JobSpec* spec;
     JobRun* run;
@@ -56,10 +56,10 @@
     bool lost() const { return tier >= limits.size(); }
     Micros key() const { return lost() ? submitted : limits[tier]; }
   };
-  std::map<std::string, Share> everywhere = draft->use.teams;  // over all parts
-  for (int q = 0; q < s_.parts(); ++q) {
-    if (q == part) continue;
-    for (const auto& [team, use] : parts_[static_cast<size_t>(q)].use.teams) {
+  std::map<std::string, Share> everywhere = plan->use.teams;  // over all shards
+  for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
+    if (other_id == shard_id) continue;
+    for (const auto& [team, use] : shards_[static_cast<size_t>(other_id)].use.teams) {
       everywhere[team].cpus += use.cpus;
       everywhere[team].gpus += use.gpus;
     }
@@ -67,7 +67,7 @@
   std::vector<Waiting> waiting;
   double array_cpus = 0;
   for (auto& [id, run] : runs_) {
-    if (run.part != part) continue;
+    if (run.shard_id != shard_id) continue;
     const JobEntry* job = FindJob(id);
     if (job == nullptr || JobOver(id)) continue;
     const JobSpec& spec = job->record.spec;
@@ -83,7 +83,7 @@
     bool within = team->cpus > 0 && everywhere[spec.team].cpus + spec.each.cpus <= team->cpus;
     // Whatever the order, nothing waits for ever: what has waited long without a
     // single start comes first.
-    const Micros starve = FromSeconds(s_.op.starve_s());
+    const Micros starve = FromSeconds(settings_.op.starve_s());
     const bool aged =
         run.done + run.placed == 0 && starve > 0 && WallNow(now) - job->record.submitted > starve;
     std::vector<Micros> limits = LatestStarts(job->record);
@@ -97,18 +97,18 @@
   }
   // The recent peak fades within a minute, and to nothing: a share of it that
   // only dwindled would keep a last machine for long.
-  double faded = p.peak * std::max(0.0, 1.0 - ToSeconds(now - p.peak_at) / 60.0);
+  double faded = shard.peak * std::max(0.0, 1.0 - ToSeconds(now - shard.peak_at) / 60.0);
   if (array_cpus >= faded) {
-    p.peak = faded = array_cpus;
-    p.peak_at = now;
+    shard.peak = faded = array_cpus;
+    shard.peak_at = now;
   }
-  p.array_peak = faded;
+  shard.array_peak = faded;
   // Most urgent first, as long as all can be in time. When they cannot, what costs
   // most is put off until its next aim, so that as many as possible are (Moore and
   // Hodgson). Late ones come last, in the order of their coming.
   double capacity = 0;
-  for (const PlaceMachine& m : draft->machines) {
-    capacity += static_cast<double>(std::max<int64_t>(0, m.free.cpus) + m.lesser.cpus) / 1000;
+  for (const PlaceMachine& m : plan->machines) {
+    capacity += static_cast<double>(std::max<int64_t>(0, m.free.cpus) + m.preemptible.cpus) / 1000;
   }
   auto group = [](const Waiting& w) {
     return std::make_tuple(-static_cast<int>(w.spec->priority), !w.within, !w.aged);
@@ -136,66 +136,68 @@
   }
   std::sort(waiting.begin(), waiting.end(), before);
   // Batches widen with the load.
-  uint32_t batch = std::max(p.batch, s_.op.batch());
+  uint32_t batch = std::max(shard.batch, settings_.op.batch());
   uint32_t started = 0;
-  // Conditions are limited too: the claim, the chunks of this part and of one other,
+  // Conditions are limited too: the leadership, the chunks of this shard and of one other,
   // and some jobs that are done or move take theirs.
   size_t others = 0;
-  for (int q = 0; q < s_.parts(); ++q) {
-    if (q != part) others = std::max(others, parts_[static_cast<size_t>(q)].chunks.size());
+  for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
+    if (other_id != shard_id)
+      others = std::max(others, shards_[static_cast<size_t>(other_id)].chunks.size());
   }
-  const size_t taken = p.chunks.size() + others + kOtherConditions;
-  const size_t conditions = static_cast<size_t>(4 * s_.txn_ops);
+  const size_t taken = shard.chunks.size() + others + kOtherConditions;
+  const size_t conditions = static_cast<size_t>(4 * settings_.txn_ops);
   const size_t most_jobs = conditions > taken ? conditions - taken : 1;
-  const int64_t headroom = draft->headroom;
+  const int64_t headroom = plan->headroom;
   const int64_t zone_headroom =
-      SpreadServices(part) ? headroom / static_cast<int64_t>(std::max<size_t>(1, s_.zones.size()))
-                           : 0;
+      SpreadServices(shard_id)
+          ? headroom / static_cast<int64_t>(std::max<size_t>(1, settings_.zones.size()))
+          : 0;
   // Stopping lent work takes its time, some of which a service start does not
   // have: where the room that is kept is small beside all there is, it stays free.
   int64_t steady = 0, largest = 0;
-  for (const PlaceMachine& m : draft->machines) {
+  for (const PlaceMachine& m : plan->machines) {
     if (m.usable && !m.spot) steady += m.size.cpus;
   }
   const bool lend = headroom * kLendBelow > steady;
   for (const auto& [id, run] : runs_) {
-    const JobEntry* job = run.part == part ? FindJob(id) : nullptr;
+    const JobEntry* job = run.shard_id == shard_id ? FindJob(id) : nullptr;
     if (job == nullptr || job->record.spec.kind != JobKind::kService) continue;
     largest = std::max(largest, job->record.spec.tasks * job->record.spec.each.cpus);
   }
   // With room to spare, half of the largest service finds its image at once.
   int64_t image_headroom =
-      headroom > 0 ? static_cast<int64_t>(1000 * s_.op.image_headroom_cpus()) : 0;
+      headroom > 0 ? static_cast<int64_t>(1000 * settings_.op.image_headroom_cpus()) : 0;
   if (!lend) image_headroom = std::max(image_headroom, std::min(largest / 2, headroom));
   int preemptions = 0;
   // Reserved machines stand partly idle: a few of them at a time.
   size_t reserved = 0;
-  const size_t most_reserved = 1 + draft->machines.size() / 20;
+  const size_t most_reserved = 1 + plan->machines.size() / 20;
   std::set<std::string> no_room;  // shapes that found no machine in this round
   for (const Waiting& w : waiting) {
     const JobSpec& spec = *w.spec;
-    if (started >= batch || draft->jobs.size() >= most_jobs) break;
+    if (started >= batch || plan->jobs.size() >= most_jobs) break;
     const Team& team = *FindTeam(spec.team);
-    const bool tail = draft->roster.helps.count(spec.id) != 0;
-    const JobSpread& spread = draft->SpreadOf(spec);
+    const bool tail = plan->assignments.helps.count(spec.id) != 0;
+    const JobSpread& spread = plan->SpreadOf(spec);
     // Arrays leave a little of the team's limit to its own services.
     Share kept;
     if (spec.priority != Priority::kProduction && service_teams_.count(spec.team) != 0) {
-      kept.cpus = std::min<int64_t>(static_cast<int64_t>(1000 * s_.op.team_headroom_cpus()),
+      kept.cpus = std::min<int64_t>(static_cast<int64_t>(1000 * settings_.op.team_headroom_cpus()),
                                     team.cpus_max / 4) /
-                  s_.parts();
+                  settings_.shard_count();
     }
     bool asked_share = false;
     const bool gang = spec.kind == JobKind::kGang;
     // A service that spreads is not begun where it cannot be completed, as long
-    // as another part may take it: its replicas would tie it to this one.
+    // as another shard may take it: its replicas would tie it to this one.
     const bool whole =
         gang ||
         (spec.spread && spec.kind == JobKind::kService && w.run->placed == 0 && w.moves < 2 &&
-         (w.run->unmet_since == 0 || now - w.run->unmet_since < kWholePatience));
-    std::unique_ptr<Draft> before = gang ? std::make_unique<Draft>(*draft) : nullptr;
-    const size_t begun = draft->started.size();
-    const uint64_t gang_number = gang ? NextNumber(part, draft) : 0;
+         (w.run->unplaced_since == 0 || now - w.run->unplaced_since < kWholePatience));
+    std::unique_ptr<Plan> before = gang ? std::make_unique<Plan>(*plan) : nullptr;
+    const size_t begun = plan->started.size();
+    const uint64_t gang_number = gang ? NextNumber(shard_id, plan) : 0;
     PlaceRequest request;
     request.spec = &spec;
     request.spread = &spread;
@@ -215,38 +217,38 @@
       if (w.run->tasks[i] != kWaiting) continue;
       if (started >= batch && !whole) break;
       auto within = [&] {
-        Share share = ShareOf(draft->roster, team, part, s_.parts());
+        Share share = ShareOf(plan->assignments, team, shard_id, settings_.shard_count());
         share.cpus -= kept.cpus;
-        return WithinShare(team, share, draft->use.teams[spec.team], spec.each);
+        return WithinShare(team, share, plan->use.teams[spec.team], spec.each);
       };
       if (!within()) {
         if (asked_share) break;
         asked_share = true;
         Share want{spec.each.cpus * left + kept.cpus, spec.each.gpus * left};
-        if (!DraftShare(now, part, draft, team, want) || !within()) {
-          if (spec.priority == Priority::kProduction) PreemptTeam(now, part, draft, spec);
+        if (!PlanQuotaTransfer(now, shard_id, plan, team, want) || !within()) {
+          if (spec.priority == Priority::kProduction) PreemptTeam(now, shard_id, plan, spec);
           break;
         }
       }
       // An array's tasks fill one machine after the other.
-      bool fits = on >= 0 && !shape.empty() && draft->machines[static_cast<size_t>(on)].spot &&
-                  spec.each.Fits(draft->machines[static_cast<size_t>(on)].free);
-      if (!fits) on = ChooseMachine(request, draft->machines, draft->index);
-      if (on < 0 && draft->windowed) {
+      bool fits = on >= 0 && !shape.empty() && plan->machines[static_cast<size_t>(on)].spot &&
+                  spec.each.Fits(plan->machines[static_cast<size_t>(on)].free);
+      if (!fits) on = ChooseMachine(request, plan->machines, plan->index);
+      if (on < 0 && plan->windowed) {
         // A machine of another chunk has room: no reason to take or rent one.
         request.closed_too = true;
-        const bool soon = ChooseMachine(request, draft->machines, draft->index) >= 0;
+        const bool soon = ChooseMachine(request, plan->machines, plan->index) >= 0;
         request.closed_too = false;
         if (soon) {
-          p.dirty = true;
+          shard.dirty = true;
           break;
         }
       }
       if (on < 0) {
         // A take that comes to nothing is undone with the rest.
-        if (whole && before == nullptr) before = std::make_unique<Draft>(*draft);
-        if (DraftTake(now, part, draft, spec)) {
-          on = ChooseMachine(request, draft->machines, draft->index);
+        if (whole && before == nullptr) before = std::make_unique<Plan>(*plan);
+        if (PlanAcquisition(now, shard_id, plan, spec)) {
+          on = ChooseMachine(request, plan->machines, plan->index);
         }
       }
       if (on < 0) {
@@ -254,86 +256,87 @@
         if (!shape.empty()) no_room.insert(shape);
         break;
       }
-      PlaceMachine& machine = draft->machines[static_cast<size_t>(on)];
+      PlaceMachine& machine = plan->machines[static_cast<size_t>(on)];
       if (!spec.image.empty()) {
-        draft->index.Remove(machine);
+        plan->index.Remove(machine);
         if (!machine.Has(spec.image)) machine.fetching.push_back(spec.image);
-        draft->index.Add(&machine);
+        plan->index.Add(&machine);
       }
-      draft->Occupy(&machine, spec, 1);
-      draft->Change(machine.name);
+      plan->Occupy(&machine, spec, 1);
+      plan->Change(machine.name);
       // The tasks of a gang find each other by a common attempt.
-      Attempt a{spec.id, static_cast<int>(i), gang ? gang_number : NextNumber(part, draft)};
-      draft->roster.machines[machine.name].attempts.push_back(a);
-      draft->started.emplace_back(machine.name, a);
+      Attempt a{spec.id, static_cast<int>(i), gang ? gang_number : NextNumber(shard_id, plan)};
+      plan->assignments.machines[machine.name].attempts.push_back(a);
+      plan->started.emplace_back(machine.name, a);
       if (machine.helps == spec.id) {
-        draft->roster.helps[spec.id].credit -=
+        plan->assignments.helps[spec.id].credit -=
             static_cast<double>(spec.each.cpus) / 1000.0 * ToSeconds(spec.estimate) / 3600.0;
       }
       ++started;
       --left;
-      if (!whole) w.run->unmet_since = 0;
+      if (!whole) w.run->unplaced_since = 0;
     }
     if (whole && left > 0) {
-      if (before != nullptr) *draft = std::move(*before);
-      Withdraw(draft, spec, begun);
-      started = static_cast<uint32_t>(draft->started.size());
-      if (w.run->unmet_since == 0) w.run->unmet_since = now;
-      if (no_machine) draft->unmet.push_back({&spec, w.tasks, tail});
+      if (before != nullptr) *plan = std::move(*before);
+      Withdraw(plan, spec, begun);
+      started = static_cast<uint32_t>(plan->started.size());
+      if (w.run->unplaced_since == 0) w.run->unplaced_since = now;
+      if (no_machine) plan->unplaced.push_back({&spec, w.tasks, tail});
       continue;
     }
-    if (draft->started.size() > begun) {
-      draft->jobs.insert(spec.id);
-      draft->urgent = true;
-      draft->critical = draft->critical || spec.priority == Priority::kProduction;
+    if (plan->started.size() > begun) {
+      plan->jobs.insert(spec.id);
+      plan->urgent = true;
+      plan->critical = plan->critical || spec.priority == Priority::kProduction;
     }
     if (no_machine && left > 0) {
-      draft->unmet.push_back({&spec, left, tail});
-      if (w.run->unmet_since == 0) w.run->unmet_since = now;
-      if (w.aged && draft->started.size() == begun && reserved < most_reserved) {
+      plan->unplaced.push_back({&spec, left, tail});
+      if (w.run->unplaced_since == 0) w.run->unplaced_since = now;
+      if (w.aged && plan->started.size() == begun && reserved < most_reserved) {
         ++reserved;
-        Reserve(draft, spec);
+        Reserve(plan, spec);
       }
-      if (spec.priority == Priority::kProduction && now - p.explained_at > kSecond) {
-        p.explained_at = now;
+      if (spec.priority == Priority::kProduction && now - shard.explained_at > kSecond) {
+        shard.explained_at = now;
         Log(LogLine::Level::kDebug,
             "no room for " + spec.id + " (" + std::to_string(left) + " left)");
       }
       // Not for too many at once.
-      if (spec.priority == Priority::kProduction && ++preemptions <= kMostPreemptions) {
-        DraftPreemption(now, part, draft, spec, left);
+      if (spec.priority == Priority::kProduction && ++preemptions <= kMaxPreemptions) {
+        PlanPreemption(now, shard_id, plan, spec, left);
       }
     }
   }
-  p.batch = started >= batch ? std::min(batch * 2, s_.op.batch_most()) : s_.op.batch();
+  shard.batch =
+      started >= batch ? std::min(batch * 2, settings_.op.batch_most()) : settings_.op.batch();
 }
 
 // For a job that has waited too long: its tasks need more room than what is left
 // wherever smaller ones keep filling up. The machine with most room takes nothing
 // else until one of them fits.
-void Core::Reserve(Draft* draft, const JobSpec& spec) {
+void Core::Reserve(Plan* plan, const JobSpec& spec) {
   PlaceMachine* best = nullptr;
-  const JobSpread& spread = draft->SpreadOf(spec);
-  for (PlaceMachine& m : draft->machines) {
+  const JobSpread& spread = plan->SpreadOf(spec);
+  for (PlaceMachine& m : plan->machines) {
     if (!m.usable || !m.helps.empty() || !spec.each.Fits(m.size) || !Allowed(spec, spread, m)) {
       continue;
     }
     if (best == nullptr || m.free.cpus > best->free.cpus) best = &m;
   }
   if (best == nullptr) return;
-  draft->index.Remove(*best);
+  plan->index.Remove(*best);
   best->usable = false;
 }
 
 // Takes back what was placed of a job since `begun`.
-void Core::Withdraw(Draft* draft, const JobSpec& spec, size_t begun) {
-  while (draft->started.size() > begun) {
-    const auto& [name, attempt] = draft->started.back();
-    std::erase(draft->roster.machines[name].attempts, attempt);
-    for (PlaceMachine& m : draft->machines) {
-      if (m.name == name) draft->Occupy(&m, spec, -1);
+void Core::Withdraw(Plan* plan, const JobSpec& spec, size_t begun) {
+  while (plan->started.size() > begun) {
+    const auto& [name, attempt] = plan->started.back();
+    std::erase(plan->assignments.machines[name].attempts, attempt);
+    for (PlaceMachine& m : plan->machines) {
+      if (m.name == name) plan->Occupy(&m, spec, -1);
     }
-    draft->started.pop_back();
+    plan->started.pop_back();
   }
 }
 
--- a/src/core/draft.h
+++ b/src/core/plan.h
@@ -1,6 +1,6 @@
 // What one round decided and has not committed yet.
-#ifndef TROUTLINK_CORE_DRAFT_H_
-#define TROUTLINK_CORE_DRAFT_H_
+#ifndef TROUTLINK_CORE_PLAN_H_
+#define TROUTLINK_CORE_PLAN_H_
 
 #include <map>
 #include <set>
@@ -11,15 +11,15 @@
 
 namespace troutlink {
 
-struct Core::Draft {
-  struct Unmet {
+struct Core::Plan {
+  struct Unplaced {
     const JobSpec* spec = nullptr;
     int tasks = 0;
     bool tail = false;
   };
 
   // Tasks of a machine that may have to make way.
-  struct Lesser {
+  struct Preemptible {
     struct Task {
       Attempt attempt;
       AttemptInfo* info;
@@ -29,46 +29,47 @@
     std::vector<Task> tasks;
   };
 
-  Roster roster;                 // the part's own, as it is to become
-  std::map<int, Roster> others;  // those of other parts that change with it
+  AssignmentTable assignments;            // the shard's own, as it is to become
+  std::map<int, AssignmentTable> others;  // those of other shards that change with it
   std::vector<PlaceMachine> machines;
   PlaceIndex index;      // over them
-  Use use;               // of the part's attempts that are not gone
+  Use use;               // of the shard's attempts that are not gone
   int64_t headroom = 0;  // cpus kept free for services
-  // A roster of more chunks than a transaction holds is changed a few chunks at a
+  // An assignment table of more chunks than a transaction holds is changed a few chunks at a
   // time: the first ones that a round touches, while it still sees all the others.
   bool windowed = false;
   size_t most_chunks = 0;
   std::set<int> window;    // chunks that this round changes
   std::set<int> removals;  // chunks whose turn it is to drop what is gone
-  // Free machines of other parts, found when first needed.
-  bool looked_elsewhere = false;
-  std::vector<std::pair<int, std::string>> elsewhere;
+  // Free machines of other shards, found when first needed.
+  bool acquirable_known = false;
+  std::vector<std::pair<int, std::string>> acquirable;
   std::map<std::string, JobSpread> spreads;
   std::vector<std::pair<std::string, Attempt>> started;  // by machine
   std::set<std::string> jobs;                            // whose records must not have changed
   std::vector<std::string> done;                         // jobs to be called done
-  std::vector<std::string> hires;
+  std::vector<std::string> rentals;
   std::set<std::string> service_images;  // of all services that run
-  std::vector<Unmet> unmet;
-  std::map<std::string, int> moved;  // jobs that go to another part
-  bool looked_for_lesser = false;
-  std::map<std::string, Lesser> lesser;  // by machine
-  int preempted = 0;                     // tasks that were told to make way
+  std::vector<Unplaced> unplaced;
+  std::map<std::string, int> moved;  // jobs that go to another shard
+  bool preemptible_known = false;
+  std::map<std::string, Preemptible> preemptible;  // by machine
+  int preempted = 0;                               // tasks that were told to make way
   bool urgent = false;
-  bool critical = false;     // starts work of the highest priority
-  bool all_rosters = false;  // conditional on every roster (adoption)
+  bool critical = false;    // starts work of the highest priority
+  bool all_tables = false;  // conditional on every assignment table (adoption)
   bool progress = false;
 
   bool MayChange(const std::string& machine) const {
     return !windowed || window.size() < most_chunks ||
-           window.count(ChunkOf(machine, roster.chunks)) != 0;
+           window.count(ChunkOf(machine, assignments.chunks)) != 0;
   }
   // Around every change of a machine's record.
   void Change(const std::string& machine) {
-    if (!windowed || !window.insert(ChunkOf(machine, roster.chunks)).second) return;
+    if (!windowed || !window.insert(ChunkOf(machine, assignments.chunks)).second) return;
     if (window.size() < most_chunks) return;
-    for (PlaceMachine& m : machines) m.closed = window.count(ChunkOf(m.name, roster.chunks)) == 0;
+    for (PlaceMachine& m : machines)
+      m.closed = window.count(ChunkOf(m.name, assignments.chunks)) == 0;
   }
   // Room on a machine is taken (or, with -1, given back).
   void Occupy(PlaceMachine* m, const JobSpec& spec, int n) {
@@ -101,4 +102,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_DRAFT_H_
+#endif  // TROUTLINK_CORE_PLAN_H_
--- a/src/core/quota.cc
+++ b/src/core/quota.cc
@@ -4,16 +4,16 @@
 
 namespace troutlink {
 
-Share EqualShare(const Team& team, int part, int parts) {
-  auto split = [part, parts](int64_t limit) {
-    return limit / parts + (part == 0 ? limit % parts : 0);
+Share EqualShare(const Team& team, int shard_id, int shard_count) {
+  auto split = [shard_id, shard_count](int64_t limit) {
+    return limit / shard_count + (shard_id == 0 ? limit % shard_count : 0);
   };
   return {split(team.cpus_max), split(team.gpus_max)};
 }
 
-Share ShareOf(const Roster& roster, const Team& team, int part, int parts) {
-  auto it = roster.shares.find(team.name);
-  return it != roster.shares.end() ? it->second : EqualShare(team, part, parts);
+Share ShareOf(const AssignmentTable& assignments, const Team& team, int shard_id, int shard_count) {
+  auto it = assignments.shares.find(team.name);
+  return it != assignments.shares.end() ? it->second : EqualShare(team, shard_id, shard_count);
 }
 
 bool WithinShare(const Team& team, const Share& share, const Share& used, const Amount& each) {
--- a/src/core/quota.h
+++ b/src/core/quota.h
@@ -1,4 +1,4 @@
-// Teams' limits, split into shares of the parts, and their guarantees.
+// Teams' limits, split into shares of the shards, and their guarantees.
 #ifndef TROUTLINK_CORE_QUOTA_H_
 #define TROUTLINK_CORE_QUOTA_H_
 
@@ -10,10 +10,10 @@
 
 namespace troutlink {
 
-// A share that was never moved: the limit split evenly, the rest to part 0.
-Share EqualShare(const Team& team, int part, int parts);
-// The share of `team` that the roster of `part` holds.
-Share ShareOf(const Roster& roster, const Team& team, int part, int parts);
+// A share that was never moved: the limit split evenly, the rest to shard 0.
+Share EqualShare(const Team& team, int shard_id, int shard_count);
+// The share of `team` that the assignment table of that shard holds.
+Share ShareOf(const AssignmentTable& assignments, const Team& team, int shard_id, int shard_count);
 // Whether one more task fits. A limit of 0 means none.
 bool WithinShare(const Team& team, const Share& share, const Share& used, const Amount& each);
 // How much of `want` cpus (gpus) can be moved out of a share with `used` in use.
--- a/src/core/records.cc
+++ b/src/core/records.cc
@@ -13,7 +13,7 @@
 
 using wire::Json;
 
-constexpr uint64_t kMostTaskNumber = 100000;
+constexpr uint64_t kMaxTaskNumber = 100000;
 
 int ToInt(std::string_view s) {
   int v = -1;
@@ -24,12 +24,14 @@
 }  // namespace
 
 std::string JobKey(std::string_view id) { return std::string(kRoot).append("job/").append(id); }
-std::string ClaimKey(int part) { return std::string(kRoot) + "claim/" + std::to_string(part); }
-std::string RosterKey(int part, int chunk) {
-  return std::string(kRoot) + "roster/" + std::to_string(part) + "/" + std::to_string(chunk);
+std::string LeadershipKey(int shard_id) {
+  return std::string(kRoot) + "claim/" + std::to_string(shard_id);
 }
-std::string ProgressKey(int part) {
-  return std::string(kRoot) + "progress/" + std::to_string(part);
+std::string AssignmentKey(int shard_id, int chunk) {
+  return std::string(kRoot) + "roster/" + std::to_string(shard_id) + "/" + std::to_string(chunk);
+}
+std::string ProgressKey(int shard_id) {
+  return std::string(kRoot) + "progress/" + std::to_string(shard_id);
 }
 
 Key ParseKey(std::string_view key) {
@@ -43,21 +45,21 @@
     out.kind = Key::Kind::kJob;
     out.id = rest;
   } else if (kind == "claim" || kind == "progress") {
-    out.part = ToInt(rest);
-    if (out.part < 0) return out;
-    out.kind = kind == "claim" ? Key::Kind::kClaim : Key::Kind::kProgress;
+    out.shard_id = ToInt(rest);
+    if (out.shard_id < 0) return out;
+    out.kind = kind == "claim" ? Key::Kind::kLeadership : Key::Kind::kProgress;
   } else if (kind == "roster") {
     size_t s = rest.find('/');
     if (s == std::string_view::npos) return out;
-    out.part = ToInt(rest.substr(0, s));
+    out.shard_id = ToInt(rest.substr(0, s));
     out.chunk = ToInt(rest.substr(s + 1));
-    if (out.part >= 0 && out.chunk >= 0) out.kind = Key::Kind::kRoster;
+    if (out.shard_id >= 0 && out.chunk >= 0) out.kind = Key::Kind::kAssignments;
   }
   return out;
 }
 
 std::string EncodeJob(const JobRecord& job) {
-  Json out = {{"part", job.part}, {"state", static_cast<int>(job.state)}};
+  Json out = {{"part", job.shard_id}, {"state", static_cast<int>(job.state)}};
   if (job.state == JobState::kOpen) {
     // The specification is kept in the form in which users send it.
     out["spec"] = wire::EncodeSpec(job.spec);
@@ -76,11 +78,11 @@
 std::optional<JobRecord> DecodeJob(std::string_view value) {
   std::optional<Json> doc = wire::Unpack(value);
   if (!doc) return std::nullopt;
-  std::optional<uint64_t> part = wire::Count(*doc, "part"), state = wire::Count(*doc, "state"),
+  std::optional<uint64_t> shard_id = wire::Count(*doc, "part"), state = wire::Count(*doc, "state"),
                           submitted = wire::Count(*doc, "submitted");
-  if (!part || !state || *state > 2) return std::nullopt;
+  if (!shard_id || !state || *state > 2) return std::nullopt;
   JobRecord job;
-  job.part = static_cast<int>(*part);
+  job.shard_id = static_cast<int>(*shard_id);
   job.state = static_cast<JobState>(*state);
   if (const Json* spec = wire::Find(*doc, "spec")) {
     std::string why;
@@ -108,21 +110,21 @@
   return job;
 }
 
-std::string EncodeClaim(const Claim& claim) {
-  return wire::Pack(Json{{"owner", claim.owner}, {"boot", claim.boot}});
+std::string EncodeLeadership(const Leadership& leadership) {
+  return wire::Pack(Json{{"owner", leadership.leader}, {"boot", leadership.boot}});
 }
 
-std::optional<Claim> DecodeClaim(std::string_view value) {
+std::optional<Leadership> DecodeLeadership(std::string_view value) {
   std::optional<Json> doc = wire::Unpack(value);
-  std::optional<std::string> owner = doc ? wire::Text(*doc, "owner") : std::nullopt;
-  if (!owner) return std::nullopt;
-  return Claim{*owner, wire::Count(*doc, "boot").value_or(0)};
+  std::optional<std::string> leader = doc ? wire::Text(*doc, "owner") : std::nullopt;
+  if (!leader) return std::nullopt;
+  return Leadership{*leader, wire::Count(*doc, "boot").value_or(0)};
 }
 
 int ChunkOf(const std::string& machine, int chunks) {
   if (chunks <= 1) return 0;
   // Linear hashing: one more chunk splits one of them and leaves the others as
-  // they are, so that growth never rewrites a whole roster.
+  // they are, so that growth never rewrites a whole assignment table.
   auto n = static_cast<uint64_t>(chunks), level = std::bit_floor(n);
   uint64_t hash = StableHash(machine), chunk = hash & (2 * level - 1);
   return static_cast<int>(chunk < n ? chunk : hash & (level - 1));
@@ -158,12 +160,12 @@
 // Job ids without the prefix that all of them have.
 std::string_view ShortId(std::string_view id) { return id.substr(kJobPrefix.size()); }
 
-std::string EncodeMachines(const Roster& roster, int chunk) {
+std::string EncodeMachines(const AssignmentTable& assignments, int chunk) {
   Table table;
   std::string body;
   uint64_t count = 0;
-  for (const auto& [name, m] : roster.machines) {
-    if (ChunkOf(name, roster.chunks) != chunk) continue;
+  for (const auto& [name, m] : assignments.machines) {
+    if (ChunkOf(name, assignments.chunks) != chunk) continue;
     ++count;
     PutTextDigits(&body, name);
     PutTextDigits(&body, m.addr);
@@ -189,7 +191,7 @@
   return out + body;
 }
 
-bool DecodeMachines(std::string_view in, Roster* roster) {
+bool DecodeMachines(std::string_view in, AssignmentTable* assignments) {
   uint64_t n = 0;
   if (!GetDigits(&in, &n) || n > in.size()) return false;
   std::vector<std::string> texts(n);
@@ -198,7 +200,7 @@
   }
   if (!GetDigits(&in, &n) || n > in.size()) return false;
   for (; n > 0; --n) {
-    RosterMachine m;
+    AssignedMachine m;
     uint64_t type = 0, zone = 0, flags = 0, jobs = 0;
     if (!GetTextDigits(&in, &m.name) || !GetTextDigits(&in, &m.addr) || !GetDigits(&in, &type) ||
         !GetDigits(&in, &zone) || !GetDigits(&in, &flags) || type >= texts.size() ||
@@ -228,51 +230,52 @@
       }
     }
     std::string name = m.name;
-    roster->machines[name] = std::move(m);
+    assignments->machines[name] = std::move(m);
   }
   return in.empty();
 }
 
 }  // namespace
 
-std::string EncodeChunk(const Roster& roster, int chunk) {
-  Json out = {{"m", EncodeMachines(roster, chunk)}};
+std::string EncodeChunk(const AssignmentTable& assignments, int chunk) {
+  Json out = {{"m", EncodeMachines(assignments, chunk)}};
   if (chunk == 0) {
-    out["n"] = roster.chunks;
-    out["next"] = roster.next_number;
-    Json hires = Json::array(), shares = Json::object(), helps = Json::object();
-    for (const auto& [id, h] : roster.hires) {
-      hires.push_back(Json::array({id, h.ask.type, h.ask.zone, h.ask.spot, h.ask.count, h.helps}));
+    out["n"] = assignments.chunks;
+    out["next"] = assignments.next_number;
+    Json rentals = Json::array(), shares = Json::object(), helps = Json::object();
+    for (const auto& [id, h] : assignments.rentals) {
+      rentals.push_back(
+          Json::array({id, h.ask.type, h.ask.zone, h.ask.spot, h.ask.count, h.helps}));
     }
-    for (const auto& [team, s] : roster.shares) shares[team] = Json::array({s.cpus, s.gpus});
-    for (const auto& [job, h] : roster.helps) helps[job] = h.credit;
-    out["hires"] = std::move(hires);
+    for (const auto& [team, s] : assignments.shares) shares[team] = Json::array({s.cpus, s.gpus});
+    for (const auto& [job, h] : assignments.helps) helps[job] = h.credit;
+    out["hires"] = std::move(rentals);
     out["shares"] = std::move(shares);
     out["helps"] = std::move(helps);
   }
   return wire::Pack(out);
 }
 
-bool DecodeChunk(std::string_view value, int chunk, Roster* roster) {
+bool DecodeChunk(std::string_view value, int chunk, AssignmentTable* assignments) {
   std::optional<Json> doc = wire::Unpack(value);
   if (!doc || !doc->is_object()) return false;
   try {
-    if (!DecodeMachines(doc->at("m").get_ref<const std::string&>(), roster)) return false;
+    if (!DecodeMachines(doc->at("m").get_ref<const std::string&>(), assignments)) return false;
     if (chunk != 0) return true;
-    roster->chunks = doc->at("n").get<int>();
-    roster->next_number = doc->at("next").get<uint64_t>();
+    assignments->chunks = doc->at("n").get<int>();
+    assignments->next_number = doc->at("next").get<uint64_t>();
     for (const Json& h : doc->at("hires")) {
-      Hire hire;
-      hire.ask = {h.at(0).get<std::string>(), h.at(1).get<std::string>(),
-                  h.at(2).get<std::string>(), h.at(3).get<bool>(), h.at(4).get<int>()};
-      hire.helps = h.at(5).get<std::string>();
-      roster->hires[hire.ask.request] = hire;
+      Rental rental;
+      rental.ask = {h.at(0).get<std::string>(), h.at(1).get<std::string>(),
+                    h.at(2).get<std::string>(), h.at(3).get<bool>(), h.at(4).get<int>()};
+      rental.helps = h.at(5).get<std::string>();
+      assignments->rentals[rental.ask.request] = rental;
     }
     for (const auto& [team, s] : doc->at("shares").items()) {
-      roster->shares[team] = {s.at(0).get<int64_t>(), s.at(1).get<int64_t>()};
+      assignments->shares[team] = {s.at(0).get<int64_t>(), s.at(1).get<int64_t>()};
     }
     for (const auto& [job, credit] : doc->at("helps").items()) {
-      roster->helps[job] = {credit.get<double>()};
+      assignments->helps[job] = {credit.get<double>()};
     }
   } catch (const Json::exception&) {
     return false;
@@ -315,8 +318,8 @@
     std::set<int>& done = out[job];
     for (uint64_t at = 0; !in.empty();) {
       uint64_t gap = 0, length = 0;
-      if (!GetDigits(&in, &gap) || !GetDigits(&in, &length) || gap > kMostTaskNumber ||
-          length > kMostTaskNumber || at + gap + length > kMostTaskNumber) {
+      if (!GetDigits(&in, &gap) || !GetDigits(&in, &length) || gap > kMaxTaskNumber ||
+          length > kMaxTaskNumber || at + gap + length > kMaxTaskNumber) {
         return std::nullopt;
       }
       at += gap;
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -18,34 +18,34 @@
 inline constexpr std::string_view kRoot = "troutlink/";
 
 std::string JobKey(std::string_view id);
-std::string ClaimKey(int part);
-std::string RosterKey(int part, int chunk);
-std::string ProgressKey(int part);
+std::string LeadershipKey(int shard_id);
+std::string AssignmentKey(int shard_id, int chunk);
+std::string ProgressKey(int shard_id);
 
 struct Key {
-  enum class Kind { kJob, kClaim, kRoster, kProgress, kOther } kind = Kind::kOther;
+  enum class Kind { kJob, kLeadership, kAssignments, kProgress, kOther } kind = Kind::kOther;
   std::string id;  // jobs
-  int part = 0;
+  int shard_id = 0;
   int chunk = 0;
 };
 Key ParseKey(std::string_view key);
 
 struct JobRecord {
   JobSpec spec;
-  int part = 0;
+  int shard_id = 0;
   JobState state = JobState::kOpen;
   Micros submitted = 0;  // time of day
-  int moves = 0;         // from part to part; bounded, or full parts would pass it around
+  int moves = 0;         // from shard to shard; bounded, or full shards would pass it around
 };
 std::string EncodeJob(const JobRecord& job);
 std::optional<JobRecord> DecodeJob(std::string_view value);
 
-struct Claim {
-  std::string owner;
+struct Leadership {
+  std::string leader;
   uint64_t boot = 0;
 };
-std::string EncodeClaim(const Claim& claim);
-std::optional<Claim> DecodeClaim(std::string_view value);
+std::string EncodeLeadership(const Leadership& leadership);
+std::optional<Leadership> DecodeLeadership(std::string_view value);
 
 // One task on one machine, intended or real.
 struct Attempt {
@@ -55,7 +55,7 @@
   auto operator<=>(const Attempt&) const = default;
 };
 
-struct RosterMachine {
+struct AssignedMachine {
   std::string name;
   std::string addr;
   std::string type;
@@ -64,15 +64,15 @@
   bool leaving = false;  // is being given back: takes no work, cannot be taken
   std::string helps;     // the job whose tail it was rented for
   std::vector<Attempt> attempts;
-  bool operator==(const RosterMachine&) const = default;
+  bool operator==(const AssignedMachine&) const = default;
 };
 
 // A rental that was decided on and may not have been answered yet. It stays
 // until a definite answer, so that no machine is rented and forgotten.
-struct Hire {
+struct Rental {
   RentRequest ask;
   std::string helps;
-  bool operator==(const Hire& o) const {
+  bool operator==(const Rental& o) const {
     return ask.request == o.ask.request && ask.count == o.ask.count;
   }
 };
@@ -89,14 +89,14 @@
   bool operator==(const Help&) const = default;
 };
 
-struct Roster {
+struct AssignmentTable {
   int chunks = 1;
   uint64_t next_number = 1;  // attempts and rental requests
-  std::map<std::string, RosterMachine> machines;
-  std::map<std::string, Hire> hires;
+  std::map<std::string, AssignedMachine> machines;
+  std::map<std::string, Rental> rentals;
   std::map<std::string, Share> shares;  // by team; absent: the equal share
   std::map<std::string, Help> helps;    // by job
-  bool operator==(const Roster&) const = default;
+  bool operator==(const AssignmentTable&) const = default;
 };
 
 // The record of chunk 0 also holds everything but machines; machines are spread
@@ -104,8 +104,8 @@
 int ChunkOf(const std::string& machine, int chunks);
 // The chunk whose machines are divided when there is one more than `chunks`.
 int SplitChunk(int chunks);
-std::string EncodeChunk(const Roster& roster, int chunk);
-bool DecodeChunk(std::string_view value, int chunk, Roster* roster);
+std::string EncodeChunk(const AssignmentTable& assignments, int chunk);
+bool DecodeChunk(std::string_view value, int chunk, AssignmentTable* assignments);
 // Size of a stored value as the state service counts it.
 int64_t StoredSize(std::string_view value);
 
--- a/src/core/view.cc
+++ b/src/core/replica.cc
@@ -1,4 +1,4 @@
-// The view: a copy of the state service's content, fed by one list and then
+// The replica: a copy of the state service's content, fed by one list and then
 // one watch, and by our own commits.
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 constexpr double kWatchReserve = 20;  // requests
 constexpr Micros kWatchPause = 40 * kMilli;
 constexpr int kListLimit = 500;
-constexpr size_t kMostCancelled = 4000;  // kept to be told to siblings
+constexpr size_t kMaxCancelled = 4000;  // kept to be told to peers
 const std::string kTypesKey = std::string(kRoot) + "types";
 }  // namespace
 
@@ -54,28 +54,28 @@
     std::string key = JobKey(id);
     if (entry.version <= list_revision_ && list_items_.count(key) == 0) gone.push_back(key);
   }
-  for (size_t p = 0; p < parts_.size(); ++p) {
-    std::string claim = ClaimKey(static_cast<int>(p));
-    if (parts_[p].claim_version != 0 && parts_[p].claim_version <= list_revision_ &&
-        list_items_.count(claim) == 0) {
-      gone.push_back(claim);
+  for (size_t shard_id = 0; shard_id < shards_.size(); ++shard_id) {
+    std::string key = LeadershipKey(static_cast<int>(shard_id));
+    if (shards_[shard_id].leadership_version != 0 &&
+        shards_[shard_id].leadership_version <= list_revision_ && list_items_.count(key) == 0) {
+      gone.push_back(key);
     }
   }
   for (const std::string& key : gone) ApplyErase(now, key, list_revision_);
   for (const auto& [key, item] : list_items_) ApplyPut(now, key, item.value, item.version);
   list_items_.clear();
-  SettleRosters(now);
+  ReindexShards(now);
   listing_ = false;
   synced_ = true;
   watched_at_ = now;
-  watch_revision_ = list_revision_;
-  view_at_ = std::max(view_at_, list_sent_);
+  replica_revision_ = list_revision_;
+  replica_time_ = std::max(replica_time_, list_sent_);
   StartWatch(now);
 }
 
 void Core::StartWatch(Micros now) {
   watching_ = true;
-  Send(Dest::kWatch, "", "GET", wire::WatchTarget(kRoot, watch_revision_, kWatchHold), "",
+  Send(Dest::kWatch, "", "GET", wire::WatchTarget(kRoot, replica_revision_, kWatchHold), "",
        kWatchHold + 1500 * kMilli,
        [this, sent = now](Micros t, int status, const std::string& body) {
          watching_ = false;
@@ -99,9 +99,9 @@
              ApplyPut(t, e.key, e.value, e.version);
            }
          }
-         SettleRosters(t);
-         watch_revision_ = std::max(watch_revision_, reply->revision);
-         view_at_ = std::max(view_at_, sent);
+         ReindexShards(t);
+         replica_revision_ = std::max(replica_revision_, reply->revision);
+         replica_time_ = std::max(replica_time_, sent);
          // Each change ends a watch, and each node has one: when requests are short, a
          // watch waits a little and its answer takes more changes.
          if (state_budget_.Has(t, kWatchReserve)) {
@@ -151,71 +151,72 @@
       } else {
         open_jobs_.erase(k.id);
       }
-      int part = entry.record.part;
-      bool known_part = part >= 0 && part < s_.parts();
+      int shard_id = entry.record.shard_id;
+      bool known_shard = shard_id >= 0 && shard_id < settings_.shard_count();
       if (entry.record.state == JobState::kCancelled) {
         cancelled_[version] = k.id;  // each is a transaction of its own
-        while (cancelled_.size() > kMostCancelled) {
+        while (cancelled_.size() > kMaxCancelled) {
           cancelled_from_ = std::max(cancelled_from_, cancelled_.begin()->first);
           cancelled_.erase(cancelled_.begin());
         }
       }
       if (entry.record.state != JobState::kOpen) {
-        heard_cancels_.erase(k.id);
+        reported_cancels_.erase(k.id);
         auto run = runs_.find(k.id);
         if (run != runs_.end()) {
-          parts_[static_cast<size_t>(run->second.part)].progress_dirty = true;
+          shards_[static_cast<size_t>(run->second.shard_id)].progress_dirty = true;
           runs_.erase(run);
         }
         health_.ForgetJob(k.id);
-        if (known_part && parts_[static_cast<size_t>(part)].mine) {
+        if (known_shard && shards_[static_cast<size_t>(shard_id)].is_leader) {
           StopJob(now, k.id);
-          Touch(part);
+          MarkDirty(shard_id);
         }
         DropFinishedSpec(&entry);
       } else {
         auto run = runs_.find(k.id);
-        if (run != runs_.end() && run->second.part != part) runs_.erase(run);  // it moved
+        if (run != runs_.end() && run->second.shard_id != shard_id) runs_.erase(run);  // it moved
       }
-      if (entry.record.state == JobState::kOpen && known_part &&
-          parts_[static_cast<size_t>(part)].mine) {
-        LoadRun(part, k.id, entry);
-        Touch(part);
+      if (entry.record.state == JobState::kOpen && known_shard &&
+          shards_[static_cast<size_t>(shard_id)].is_leader) {
+        LoadRun(shard_id, k.id, entry);
+        MarkDirty(shard_id);
       }
       return;
     }
-    case Key::Kind::kClaim: {
-      if (k.part >= s_.parts()) return;
-      Part& p = parts_[static_cast<size_t>(k.part)];
-      if (p.claim_version >= version) return;
-      std::optional<Claim> claim = DecodeClaim(value);
-      if (!claim) return;
-      p.claim_version = version;
-      p.claim = *claim;
-      p.absent_since = 0;
-      if (claim->owner != s_.label || claim->boot != boot_) {
-        p.last_owner = claim->owner;
-        if (version > p.rival_claim) {
-          p.rival_claim = version;
-          p.rival = claim->owner;
+    case Key::Kind::kLeadership: {
+      if (k.shard_id >= settings_.shard_count()) return;
+      Shard& shard = shards_[static_cast<size_t>(k.shard_id)];
+      if (shard.leadership_version >= version) return;
+      std::optional<Leadership> leadership = DecodeLeadership(value);
+      if (!leadership) return;
+      shard.leadership_version = version;
+      shard.leadership = *leadership;
+      shard.leaderless_since = 0;
+      if (leadership->leader != settings_.label || leadership->boot != boot_) {
+        shard.previous_leader = leadership->leader;
+        if (version > shard.rival_epoch) {
+          shard.rival_epoch = version;
+          shard.rival_leader = leadership->leader;
         }
-        if (p.mine && version > p.my_claim) LoseClaim(now, k.part, "claimed by another");
+        if (shard.is_leader && version > shard.epoch)
+          LoseLeadership(now, k.shard_id, "another leader was elected");
       }
       return;
     }
-    case Key::Kind::kRoster: {
-      if (k.part >= s_.parts()) return;
-      ApplyChunk(now, k.part, k.chunk, value, version);
+    case Key::Kind::kAssignments: {
+      if (k.shard_id >= settings_.shard_count()) return;
+      ApplyChunk(now, k.shard_id, k.chunk, value, version);
       return;
     }
     case Key::Kind::kProgress: {
-      if (k.part >= s_.parts()) return;
-      Part& p = parts_[static_cast<size_t>(k.part)];
-      if (p.progress_version >= version) return;
+      if (k.shard_id >= settings_.shard_count()) return;
+      Shard& shard = shards_[static_cast<size_t>(k.shard_id)];
+      if (shard.progress_version >= version) return;
       std::optional<Progress> progress = DecodeProgress(value);
       if (!progress) return;
-      p.progress_version = version;
-      p.progress = std::move(*progress);
+      shard.progress_version = version;
+      shard.progress = std::move(*progress);
       return;
     }
     case Key::Kind::kOther:
@@ -230,13 +231,14 @@
 
 void Core::ApplyErase(Micros now, const std::string& key, uint64_t version) {
   Key k = ParseKey(key);
-  if (k.kind == Key::Kind::kClaim && k.part < s_.parts()) {
-    Part& p = parts_[static_cast<size_t>(k.part)];
-    if (p.claim_version > version) return;
-    p.claim_version = 0;
-    p.absent_since = now;
-    if (p.rival_claim <= version) p.rival.clear();  // an ended claim names nobody
-    if (p.mine) LoseClaim(now, k.part, "claim expired");
+  if (k.kind == Key::Kind::kLeadership && k.shard_id < settings_.shard_count()) {
+    Shard& shard = shards_[static_cast<size_t>(k.shard_id)];
+    if (shard.leadership_version > version) return;
+    shard.leadership_version = 0;
+    shard.leaderless_since = now;
+    if (shard.rival_epoch <= version)
+      shard.rival_leader.clear();  // an ended leadership names nobody
+    if (shard.is_leader) LoseLeadership(now, k.shard_id, "leadership expired");
   } else if (k.kind == Key::Kind::kJob) {
     // Job records are never deleted by the service.
     Log(LogLine::Level::kError, "job record deleted: " + key);
@@ -245,43 +247,45 @@
 
 // Only the machines of this chunk are replaced. When the number of chunks
 // grows, the divided one and the new one arrive together, in either order.
-void Core::ApplyChunk(Micros now, int part, int index, const std::string& value, uint64_t version) {
-  Part& p = parts_[static_cast<size_t>(part)];
-  Chunk& chunk = p.chunks[index];
+void Core::ApplyChunk(Micros now, int shard_id, int index, const std::string& value,
+                      uint64_t version) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  Chunk& chunk = shard.chunks[index];
   if (chunk.version >= version) return;
   chunk.version = version;
-  Roster next;
+  AssignmentTable next;
   if (!DecodeChunk(value, index, &next)) {
-    Log(LogLine::Level::kError, "unreadable roster of part " + std::to_string(part));
+    Log(LogLine::Level::kError, "unreadable assignment table of shard " + std::to_string(shard_id));
     return;
   }
   for (const std::string& name : chunk.names) {
-    auto of = p.chunk_of.find(name);
-    if (of == p.chunk_of.end() || of->second != index || next.machines.count(name) != 0) continue;
-    p.chunk_of.erase(of);
-    p.roster.machines.erase(name);
-    auto owner = machine_part_.find(name);
-    if (owner != machine_part_.end() && owner->second == part) {
-      machine_part_.erase(owner);
+    auto of = shard.chunk_of.find(name);
+    if (of == shard.chunk_of.end() || of->second != index || next.machines.count(name) != 0)
+      continue;
+    shard.chunk_of.erase(of);
+    shard.assignments.machines.erase(name);
+    auto leader = machine_shard_.find(name);
+    if (leader != machine_shard_.end() && leader->second == shard_id) {
+      machine_shard_.erase(leader);
       departed_[name] = now;
     }
   }
   chunk.names.clear();
   for (auto& [name, m] : next.machines) {
     chunk.names.push_back(name);
-    p.chunk_of[name] = index;
-    machine_part_[name] = part;
-    // A machine that was here, went to another part and came back has seen a higher token
+    shard.chunk_of[name] = index;
+    machine_shard_[name] = shard_id;
+    // A machine that was here, went to another shard and came back has seen a higher token
     // than the one that we knew it by: it was refused until it counted as silent.
     MachineInfo& info = machines_[name];
-    if (info.last_part != part) {
-      info.last_part = part;
-      info.owned_claim = 0;
+    if (info.last_shard != shard_id) {
+      info.last_shard = shard_id;
+      info.assigned_epoch = 0;
     }
     departed_.erase(name);
     unknown_.erase(name);
     stray_since_.erase(name);
-    if (!p.mine) {
+    if (!shard.is_leader) {
       bool free = m.attempts.empty() && !m.leaving && m.helps.empty();
       if (!free) {
         free_since_.erase(name);
@@ -289,33 +293,33 @@
         free_since_.try_emplace(name, now);
       }
     }
-    p.roster.machines[name] = std::move(m);
+    shard.assignments.machines[name] = std::move(m);
   }
   if (index == 0) {
-    p.roster.chunks = next.chunks;
-    p.roster.next_number = next.next_number;
-    p.roster.hires = std::move(next.hires);
-    p.roster.shares = std::move(next.shares);
-    p.roster.helps = std::move(next.helps);
+    shard.assignments.chunks = next.chunks;
+    shard.assignments.next_number = next.next_number;
+    shard.assignments.rentals = std::move(next.rentals);
+    shard.assignments.shares = std::move(next.shares);
+    shard.assignments.helps = std::move(next.helps);
   }
-  p.changed_at = now;
-  p.sync_due = true;
+  shard.changed_at = now;
+  shard.sync_due = true;
 }
 
-void Core::SettleRosters(Micros now) {
-  for (int part = 0; part < s_.parts(); ++part) {
-    Part& p = parts_[static_cast<size_t>(part)];
-    if (!p.sync_due) continue;
-    p.sync_due = false;
-    p.use = UseOf(p.roster);
-    p.machine_use.clear();
-    p.attempts = 0;
-    p.any_leaving = false;
-    for (const auto& [name, m] : p.roster.machines) {
-      MachineUse& use = p.machine_use.emplace_back();
+void Core::ReindexShards(Micros now) {
+  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
+    Shard& shard = shards_[static_cast<size_t>(shard_id)];
+    if (!shard.sync_due) continue;
+    shard.sync_due = false;
+    shard.use = UseOf(shard.assignments);
+    shard.machine_use.clear();
+    shard.attempts = 0;
+    shard.any_leaving = false;
+    for (const auto& [name, m] : shard.assignments.machines) {
+      MachineUse& use = shard.machine_use.emplace_back();
       use.machine = &m;
-      p.attempts += m.attempts.size();
-      p.any_leaving = p.any_leaving || m.leaving;
+      shard.attempts += m.attempts.size();
+      shard.any_leaving = shard.any_leaving || m.leaving;
       for (const Attempt& a : m.attempts) {
         const JobEntry* job = FindJob(a.job);
         if (job == nullptr) continue;
@@ -325,13 +329,13 @@
         use.images.insert(spec.image);
       }
     }
-    if (p.mine) SyncPart(now, part);
+    if (shard.is_leader) SyncShard(now, shard_id);
   }
 }
 
-int Core::PartOfMachine(const std::string& name) const {
-  auto it = machine_part_.find(name);
-  return it == machine_part_.end() ? -1 : it->second;
+int Core::ShardOfMachine(const std::string& name) const {
+  auto it = machine_shard_.find(name);
+  return it == machine_shard_.end() ? -1 : it->second;
 }
 
 }  // namespace troutlink
--- a/src/core/rounds.cc
+++ b/src/core/rounds.cc
@@ -1,9 +1,9 @@
-// Rounds: everything a part decides at one moment goes into one commit; what
+// Rounds: everything a shard decides at one moment goes into one commit; what
 // comes meanwhile is gathered by the next.
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/draft.h"
+#include "core/plan.h"
 
 namespace troutlink {
 
@@ -13,9 +13,9 @@
 constexpr double kItemCost = 3;       // microseconds for a machine or an attempt
 constexpr double kRoundShare = 0.25;  // of the processor that we have
 constexpr int64_t kHurry = 3;         // rounds of critical work come so much sooner
-constexpr int kMostChunksAtOnce = 4;
-constexpr size_t kMostDone = 8;  // jobs that one round calls done
-constexpr Micros kTellPeriod = 5 * kSecond;
+constexpr int kMaxChunksAtOnce = 4;
+constexpr size_t kMaxDone = 8;  // jobs that one round calls done
+constexpr Micros kStateLogPeriod = 5 * kSecond;
 }  // namespace
 
 Core::JobRun* Core::RunOf(const std::string& job) {
@@ -23,16 +23,16 @@
   return it == runs_.end() ? nullptr : &it->second;
 }
 
-void Core::LoadRun(int part, const std::string& id, const JobEntry& entry) {
+void Core::LoadRun(int shard_id, const std::string& id, const JobEntry& entry) {
   if (runs_.count(id) != 0) return;
   JobRun& run = runs_[id];
-  run.part = part;
-  Part& p = parts_[static_cast<size_t>(part)];
-  if (entry.record.spec.priority == Priority::kProduction && p.conflicts == 0) {
-    p.not_before = std::min(p.not_before, p.round_at + RoundPace(p) / kHurry);
+  run.shard_id = shard_id;
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  if (entry.record.spec.priority == Priority::kProduction && shard.conflicts == 0) {
+    shard.not_before = std::min(shard.not_before, shard.round_at + RoundPace(shard) / kHurry);
   }
   run.tasks.assign(static_cast<size_t>(entry.record.spec.tasks), kWaiting);
-  const Progress& progress = parts_[static_cast<size_t>(part)].progress;
+  const Progress& progress = shards_[static_cast<size_t>(shard_id)].progress;
   auto it = progress.find(id);
   if (it != progress.end() && entry.record.spec.kind != JobKind::kService) {
     for (int task : it->second) {
@@ -45,12 +45,12 @@
   }
 }
 
-// Brings what is known of attempts, tasks and machines in line with the roster.
-void Core::SyncPart(Micros now, int part) {
-  Part& p = parts_[static_cast<size_t>(part)];
+// Brings what is known of attempts, tasks and machines in line with the assignment table.
+void Core::SyncShard(Micros now, int shard_id) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
   ++mark_;
   for (auto& [id, run] : runs_) {
-    if (run.part != part) continue;
+    if (run.shard_id != shard_id) continue;
     for (int i : run.placed_list) {
       uint8_t& t = run.tasks[static_cast<size_t>(i)];
       if (t == kPlaced) {
@@ -61,26 +61,26 @@
     run.placed_list.clear();
     run.placed = 0;
   }
-  for (MachineUse& use : p.machine_use) {
-    const RosterMachine& m = *use.machine;
+  for (MachineUse& use : shard.machine_use) {
+    const AssignedMachine& m = *use.machine;
     const std::string& name = m.name;
     MachineInfo& info = machines_[name];
     use.info = &info;
     use.slots.clear();
-    if (info.owned_claim != p.my_claim) {
-      // It came to this part after the claim: by a move, which is entitled by its own
+    if (info.assigned_epoch != shard.epoch) {
+      // It came to this shard after the election: by a move, which is entitled by its own
       // revision. It may have been here before, under an older one.
-      info.owned_claim = p.my_claim;
-      auto chunk = p.chunks.find(ChunkOf(name, p.roster.chunks));
-      uint64_t revision = p.my_claim;
-      if (chunk != p.chunks.end()) revision = std::max(revision, chunk->second.version);
-      info.fence = std::max(info.fence, TokenAt(revision));
-      info.need_token = std::max(info.need_token, TokenAt(revision));
+      info.assigned_epoch = shard.epoch;
+      auto chunk = shard.chunks.find(ChunkOf(name, shard.assignments.chunks));
+      uint64_t revision = shard.epoch;
+      if (chunk != shard.chunks.end()) revision = std::max(revision, chunk->second.version);
+      info.fencing_token = std::max(info.fencing_token, TokenForEpoch(revision));
+      info.required_token = std::max(info.required_token, TokenForEpoch(revision));
       info.since = now;
       info.idle_since = 0;
       info.give_up = info.drain = info.returning = false;
       info.ordered.clear();
-      info.unheeded = info.lapses = 0;
+      info.ignored_answers = info.lease_losses = 0;
       info.probe = true;
       if (info.addr.empty()) info.addr = m.addr;
     }
@@ -88,7 +88,7 @@
       AttemptInfo& at = attempts_[a];
       if (at.machine.empty()) {
         at.machine = name;
-        at.part = part;
+        at.shard_id = shard_id;
         at.placed_at = now;
       }
       at.mark = mark_;
@@ -105,24 +105,25 @@
     }
   }
   for (auto it = attempts_.begin(); it != attempts_.end();) {
-    bool left = it->second.part == part && it->second.mark != mark_;
+    bool left = it->second.shard_id == shard_id && it->second.mark != mark_;
     it = left ? attempts_.erase(it) : std::next(it);
   }
   for (auto it = returned_.begin(); it != returned_.end();) {
-    auto owner = machine_part_.find(*it);
-    it = owner == machine_part_.end() ? returned_.erase(it) : std::next(it);
+    auto leader = machine_shard_.find(*it);
+    it = leader == machine_shard_.end() ? returned_.erase(it) : std::next(it);
   }
 }
 
-bool Core::Usable(Micros now, const RosterMachine& m, const MachineInfo& info) const {
+bool Core::Usable(Micros now, const AssignedMachine& m, const MachineInfo& info) const {
   if (m.leaving || info.give_up || info.failed || info.notice_end != 0 || info.drain) return false;
-  if (info.session == 0 || now < info.avoid_until || info.unheeded >= kMostUnheeded) return false;
-  if (now - info.heard > 2 * s_.report + kSecond) return false;
-  return !health_.Sick(m.name);
+  if (info.session == 0 || now < info.avoid_until || info.ignored_answers >= kMaxIgnoredAnswers)
+    return false;
+  if (now - info.heard > 2 * settings_.report + kSecond) return false;
+  return !health_.Unhealthy(m.name);
 }
 
 // A machine as a place for tasks, with none on it.
-PlaceMachine Core::EmptyMachine(Micros now, const RosterMachine& m) const {
+PlaceMachine Core::EmptyMachine(Micros now, const AssignedMachine& m) const {
   PlaceMachine out;
   out.name = m.name;
   out.type = m.type;
@@ -141,29 +142,30 @@
   return out;
 }
 
-// The draft of a round starts as the roster without what is proven gone. One
-// pass over the attempts, through pointers that were looked up when the roster
+// The plan of a round starts as the assignment table without what is proven gone. One
+// pass over the attempts, through pointers that were looked up when the assignment table
 // last changed: this is what a round costs most.
-void Core::BeginDraft(Micros now, int part, Draft* draft) const {
-  const Part& p = parts_[static_cast<size_t>(part)];
-  Roster& roster = draft->roster;
-  roster.chunks = p.roster.chunks;
-  roster.next_number = p.roster.next_number;
-  roster.hires = p.roster.hires;
-  roster.shares = p.roster.shares;
-  roster.helps = p.roster.helps;
-  std::erase_if(roster.helps, [this](const auto& h) { return runs_.count(h.first) == 0; });
-  draft->machines.reserve(p.machine_use.size() + 16);
-  for (const MachineUse& use : p.machine_use) {
-    const RosterMachine& m = *use.machine;
+void Core::BeginPlan(Micros now, int shard_id, Plan* plan) const {
+  const Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  AssignmentTable& assignments = plan->assignments;
+  assignments.chunks = shard.assignments.chunks;
+  assignments.next_number = shard.assignments.next_number;
+  assignments.rentals = shard.assignments.rentals;
+  assignments.shares = shard.assignments.shares;
+  assignments.helps = shard.assignments.helps;
+  std::erase_if(assignments.helps, [this](const auto& h) { return runs_.count(h.first) == 0; });
+  plan->machines.reserve(shard.machine_use.size() + 16);
+  for (const MachineUse& use : shard.machine_use) {
+    const AssignedMachine& m = *use.machine;
     const bool may =
-        !draft->windowed || draft->removals.count(ChunkOf(m.name, draft->roster.chunks)) != 0;
+        !plan->windowed || plan->removals.count(ChunkOf(m.name, plan->assignments.chunks)) != 0;
     if (may && returned_.count(m.name) != 0) {
-      draft->Change(m.name);
+      plan->Change(m.name);
       continue;
     }
-    RosterMachine& copy =
-        roster.machines.emplace_hint(roster.machines.end(), m.name, RosterMachine())->second;
+    AssignedMachine& copy =
+        assignments.machines.emplace_hint(assignments.machines.end(), m.name, AssignedMachine())
+            ->second;
     copy.name = m.name;
     copy.addr = may && use.info != nullptr && !use.info->addr.empty() ? use.info->addr : m.addr;
     copy.type = m.type;
@@ -172,19 +174,19 @@
     copy.leaving = m.leaving;
     copy.helps = m.helps;
     copy.attempts.reserve(m.attempts.size() + 4);
-    PlaceMachine& place = draft->machines.emplace_back(EmptyMachine(now, m));
+    PlaceMachine& place = plan->machines.emplace_back(EmptyMachine(now, m));
     for (size_t i = 0; i < m.attempts.size(); ++i) {
       const MachineUse::Slot slot = i < use.slots.size() ? use.slots[i] : MachineUse::Slot();
       const bool gone = slot.info != nullptr && slot.info->gone;
-      if (gone && may) draft->Change(m.name);
+      if (gone && may) plan->Change(m.name);
       if (!gone || !may) copy.attempts.push_back(m.attempts[i]);
       if (gone) continue;
       place.AddTasks(m.attempts[i].job, 1);
       if (slot.job == nullptr) continue;
       const JobSpec& spec = slot.job->record.spec;
       place.free -= spec.each;
-      if (spec.priority < Priority::kProduction) place.lesser += spec.each;
-      Share& team = draft->use.teams[spec.team];
+      if (spec.priority < Priority::kProduction) place.preemptible += spec.each;
+      Share& team = plan->use.teams[spec.team];
       team.cpus += spec.each.cpus;
       team.gpus += spec.each.gpus;
       if (slot.info != nullptr && slot.info->state == TaskState::kFetching && !spec.image.empty() &&
@@ -195,9 +197,9 @@
   }
 }
 
-Core::Use Core::UseOf(const Roster& roster) const {
+Core::Use Core::UseOf(const AssignmentTable& assignments) const {
   Use use;
-  for (const auto& [name, m] : roster.machines) {
+  for (const auto& [name, m] : assignments.machines) {
     const std::string* last = nullptr;
     const JobEntry* job = nullptr;
     for (const Attempt& a : m.attempts) {
@@ -213,10 +215,10 @@
   return use;
 }
 
-int64_t Core::SteadyHeadroom(int part) const {
+int64_t Core::SteadyHeadroom(int shard_id) const {
   int64_t services = 0;
   for (const auto& [id, run] : runs_) {
-    if (run.part != part) continue;
+    if (run.shard_id != shard_id) continue;
     const JobEntry* job = FindJob(id);
     if (job != nullptr && job->record.spec.kind == JobKind::kService) {
       services += job->record.spec.each.cpus * job->record.spec.tasks;
@@ -228,13 +230,13 @@
   for (const MachineType& t : types_) boot = std::min(boot, t.boot);
   double scale = std::max(1.0, ToSeconds(boot) / 20.0);
   return std::max(
-      static_cast<int64_t>(1000 * s_.op.service_headroom_cpus() * scale),
-      static_cast<int64_t>(s_.op.service_headroom_share() * static_cast<double>(services)));
+      static_cast<int64_t>(1000 * settings_.op.service_headroom_cpus() * scale),
+      static_cast<int64_t>(settings_.op.service_headroom_share() * static_cast<double>(services)));
 }
 
-bool Core::SpreadServices(int part) const {
+bool Core::SpreadServices(int shard_id) const {
   for (const auto& [id, run] : runs_) {
-    if (run.part != part) continue;
+    if (run.shard_id != shard_id) continue;
     const JobEntry* job = FindJob(id);
     if (job != nullptr && job->record.spec.kind == JobKind::kService && job->record.spec.spread) {
       return true;
@@ -243,89 +245,93 @@
   return false;
 }
 
-// A round looks at all that a part has. It may take so much of our share of a
-// processor: the more a part has, the further apart rounds are, and the more each
+// A round looks at all that a shard has. It may take so much of our share of a
+// processor: the more a shard has, the further apart rounds are, and the more each
 // of them decides.
-Micros Core::RoundPace(const Part& p) const {
-  double items = static_cast<double>(p.roster.machines.size() + p.attempts);
-  return kRoundPace + static_cast<Micros>(items * kItemCost / (kRoundShare * s_.cores));
+Micros Core::RoundPace(const Shard& shard) const {
+  double items = static_cast<double>(shard.assignments.machines.size() + shard.attempts);
+  return kRoundPace + static_cast<Micros>(items * kItemCost / (kRoundShare * settings_.cores));
 }
 
 void Core::RunRounds(Micros now) {
-  for (int part = 0; part < s_.parts(); ++part) {
-    Part& p = parts_[static_cast<size_t>(part)];
-    if (!p.mine || p.committing || p.releasing || now < p.not_before || types_.empty()) continue;
-    bool due = p.dirty || now - p.last_commit > kIdleRound;
-    if (due) Round(now, part);
+  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
+    Shard& shard = shards_[static_cast<size_t>(shard_id)];
+    if (!shard.is_leader || shard.committing || shard.releasing || now < shard.not_before ||
+        types_.empty())
+      continue;
+    bool due = shard.dirty || now - shard.last_commit > kIdleRound;
+    if (due) Round(now, shard_id);
   }
 }
 
-void Core::Round(Micros now, int part) {
-  Part& p = parts_[static_cast<size_t>(part)];
+void Core::Round(Micros now, int shard_id) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
   ++counters_.rounds;
-  p.dirty = false;
-  p.last_commit = now;
-  p.round_at = now;
-  p.not_before = now + RoundPace(p);
-  Draft draft;
-  draft.roster.chunks = p.roster.chunks;
-  ChooseWindow(&p, &draft);
-  BeginDraft(now, part, &draft);
+  shard.dirty = false;
+  shard.last_commit = now;
+  shard.round_at = now;
+  shard.not_before = now + RoundPace(shard);
+  Plan plan;
+  plan.assignments.chunks = shard.assignments.chunks;
+  ChooseWindow(&shard, &plan);
+  BeginPlan(now, shard_id, &plan);
   std::set<std::string> service_images;
   for (const std::string& id : open_jobs_) {
     const JobSpec& spec = jobs_.at(id).record.spec;
     if (spec.kind == JobKind::kService) service_images.insert(spec.image);
   }
-  draft.index = PlaceIndex(service_images, &draft.machines);
-  draft.headroom = SteadyHeadroom(part);
-  DraftAdoption(now, part, &draft);
-  DraftTail(now, part, &draft);
-  DraftPlacement(now, part, &draft);
-  DraftMoves(now, part, &draft);
-  DraftFleet(now, part, &draft);
-  DraftReturns(now, part, &draft);
-  Consolidate(now, part, &draft);
+  plan.index = PlaceIndex(service_images, &plan.machines);
+  plan.headroom = SteadyHeadroom(shard_id);
+  PlanAdoption(now, shard_id, &plan);
+  PlanTailHelp(now, shard_id, &plan);
+  PlanPlacement(now, shard_id, &plan);
+  PlanJobMoves(now, shard_id, &plan);
+  PlanRentals(now, shard_id, &plan);
+  PlanReturns(now, shard_id, &plan);
+  Consolidate(now, shard_id, &plan);
   for (auto& [id, run] : runs_) {
-    if (run.part != part || run.done < static_cast<int>(run.tasks.size())) continue;
-    if (static_cast<int>(draft.done.size()) + 4 >= s_.txn_ops || draft.done.size() >= kMostDone) {
+    if (run.shard_id != shard_id || run.done < static_cast<int>(run.tasks.size())) continue;
+    if (static_cast<int>(plan.done.size()) + 4 >= settings_.txn_ops ||
+        plan.done.size() >= kMaxDone) {
       break;
     }
-    draft.done.push_back(id);
-    draft.urgent = true;
+    plan.done.push_back(id);
+    plan.urgent = true;
   }
-  draft.progress = p.progress_dirty && now >= p.progress_at;
-  if (now >= p.tell_at) {
-    p.tell_at = now + kTellPeriod;
-    Tell(part, draft);
+  plan.progress = shard.progress_dirty && now >= shard.progress_at;
+  if (now >= shard.next_state_log) {
+    shard.next_state_log = now + kStateLogPeriod;
+    LogShardState(shard_id, plan);
   }
-  Commit(now, part, &draft);
+  Commit(now, shard_id, &plan);
 }
 
-// What a part has and lacks, for whoever reads the log.
-void Core::Tell(int part, const Draft& draft) {
+// What a shard has and lacks, for whoever reads the log.
+void Core::LogShardState(int shard_id, const Plan& plan) {
   int usable = 0, waiting = 0, services = 0;
   int64_t steady = 0, spot = 0, free_steady = 0, free_spot = 0, wanted = 0;
-  for (const PlaceMachine& m : draft.machines) {
+  for (const PlaceMachine& m : plan.machines) {
     if (!m.usable) continue;
     ++usable;
     (m.spot ? spot : steady) += m.size.cpus;
     (m.spot ? free_spot : free_steady) += m.free.cpus;
   }
-  for (const Draft::Unmet& u : draft.unmet) {
+  for (const Plan::Unplaced& u : plan.unplaced) {
     (u.spec->kind == JobKind::kService ? services : waiting) += u.tasks;
     wanted += u.tasks * u.spec->each.cpus;
   }
-  const Part& p = parts_[static_cast<size_t>(part)];
+  const Shard& shard = shards_[static_cast<size_t>(shard_id)];
   Log(LogLine::Level::kDebug,
-      "part " + std::to_string(part) + ": " + std::to_string(draft.roster.machines.size()) +
-          " machines, usable " + std::to_string(usable) + ", chunks " +
-          std::to_string(draft.roster.chunks) + ", attempts " + std::to_string(p.attempts) +
-          ", cpus steady " + std::to_string(free_steady / 1000) + "/" +
-          std::to_string(steady / 1000) + " spot " + std::to_string(free_spot / 1000) + "/" +
-          std::to_string(spot / 1000) + " free, no room for " + std::to_string(waiting) +
-          " array and " + std::to_string(services) + " service tasks of " +
-          std::to_string(wanted / 1000) + " cpus, " + std::to_string(draft.roster.hires.size()) +
-          " rentals, " + std::to_string(write_budget_.have()) + " writes, " +
+      "shard " + std::to_string(shard_id) + ": " +
+          std::to_string(plan.assignments.machines.size()) + " machines, usable " +
+          std::to_string(usable) + ", chunks " + std::to_string(plan.assignments.chunks) +
+          ", attempts " + std::to_string(shard.attempts) + ", cpus steady " +
+          std::to_string(free_steady / 1000) + "/" + std::to_string(steady / 1000) + " spot " +
+          std::to_string(free_spot / 1000) + "/" + std::to_string(spot / 1000) +
+          " free, no room for " + std::to_string(waiting) + " array and " +
+          std::to_string(services) + " service tasks of " + std::to_string(wanted / 1000) +
+          " cpus, " + std::to_string(plan.assignments.rentals.size()) + " rentals, " +
+          std::to_string(write_budget_.have()) + " writes, " +
           std::to_string(cloud_budget_.have()) + " calls left");
   // Of this process, since its start: what is added up over a day comes from the log, as
   // counters end with their process.
@@ -339,26 +345,26 @@
           std::to_string(c.commit_conflicts));
 }
 
-// A transaction holds so many changes and so many bytes. A roster of more
+// A transaction holds so many changes and so many bytes. An assignment table of more
 // chunks than that is changed a few chunks at a time, in turn.
-void Core::ChooseWindow(Part* p, Draft* draft) const {
-  const int most = p->narrow > 0 ? 2 : std::clamp(s_.txn_ops / 2, 3, kMostChunksAtOnce);
-  if (p->narrow > 0) --p->narrow;
-  if (draft->roster.chunks <= most) return;
-  draft->windowed = true;
-  draft->most_chunks = static_cast<size_t>(most);
-  draft->window.insert(0);  // numbers, shares and rentals are there
+void Core::ChooseWindow(Shard* shard, Plan* plan) const {
+  const int most = shard->narrow > 0 ? 2 : std::clamp(settings_.txn_ops / 2, 3, kMaxChunksAtOnce);
+  if (shard->narrow > 0) --shard->narrow;
+  if (plan->assignments.chunks <= most) return;
+  plan->windowed = true;
+  plan->most_chunks = static_cast<size_t>(most);
+  plan->window.insert(0);  // numbers, shares and rentals are there
   const int turns = std::max(1, most / 2);
   for (int i = 0; i < turns; ++i) {
-    draft->removals.insert((p->window_at + i) % draft->roster.chunks);
+    plan->removals.insert((shard->window_at + i) % plan->assignments.chunks);
   }
-  p->window_at = (p->window_at + turns) % draft->roster.chunks;
-  if (p->cleanup) p->dirty = true;
+  shard->window_at = (shard->window_at + turns) % plan->assignments.chunks;
+  if (shard->cleanup) shard->dirty = true;
 }
 
-// Attempt numbers differ between parts, so that a job may change its part.
-uint64_t Core::NextNumber(int part, Draft* draft) const {
-  return draft->roster.next_number++ * parts_.size() + static_cast<uint64_t>(part);
+// Attempt numbers differ between shards, so that a job may change its shard.
+uint64_t Core::NextNumber(int shard_id, Plan* plan) const {
+  return plan->assignments.next_number++ * shards_.size() + static_cast<uint64_t>(shard_id);
 }
 
 }  // namespace troutlink
--- a/src/core/silence.cc
+++ b/src/core/silence.cc
@@ -9,28 +9,28 @@
 constexpr Micros kReturnTakes = kSecond;  // from the decision to the cloud's answer
 }  // namespace
 
-// Zones that are cut off from us as a whole: neither the siblings in them nor
+// Zones that are cut off from us as a whole: neither the peers in them nor
 // nearly any of their machines are heard, while others are.
 std::set<std::string> Core::ZonesCutOff(Micros now) const {
   std::map<std::string, std::pair<int, int>> machines;  // by zone: all, silent
   std::set<std::string> out;
-  for (const Sibling& sibling : s_.siblings) {
+  for (const Sibling& sibling : settings_.siblings) {
     const Peer& peer = peers_.at(sibling.label);
-    if (sibling.zone == s_.zone || now - peer.heard < 3 * s_.report) continue;
+    if (sibling.zone == settings_.zone || now - peer.heard < 3 * settings_.report) continue;
     out.insert(sibling.zone);
   }
-  for (const Sibling& sibling : s_.siblings) {
-    if (now - peers_.at(sibling.label).heard < 3 * s_.report) out.erase(sibling.zone);
+  for (const Sibling& sibling : settings_.siblings) {
+    if (now - peers_.at(sibling.label).heard < 3 * settings_.report) out.erase(sibling.zone);
   }
   if (out.empty()) return out;
-  for (const Part& p : parts_) {
-    if (!p.mine) continue;
-    for (const auto& [name, m] : p.roster.machines) {
+  for (const Shard& shard : shards_) {
+    if (!shard.is_leader) continue;
+    for (const auto& [name, m] : shard.assignments.machines) {
       auto info = machines_.find(name);
       if (info == machines_.end() || info->second.first_heard == 0) continue;
       auto& [all, silent] = machines[m.zone];
       ++all;
-      if (now - std::max(info->second.heard, info->second.since) > 3 * s_.report) ++silent;
+      if (now - std::max(info->second.heard, info->second.since) > 3 * settings_.report) ++silent;
     }
   }
   std::erase_if(out, [&](const std::string& zone) {
@@ -41,61 +41,62 @@
 }
 
 // Finds machines that are lost, idle or about to be taken.
-void Core::JudgeMachines(Micros now, int part) {
-  Part& p = parts_[static_cast<size_t>(part)];
+void Core::JudgeMachines(Micros now, int shard_id) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
   int total = 0, silent_ones = 0;
-  for (const auto& [name, m] : p.roster.machines) {
+  for (const auto& [name, m] : shard.assignments.machines) {
     const MachineInfo& info = machines_[name];
     if (info.first_heard == 0 || info.missing || info.failed) continue;
     ++total;
-    if (now - std::max(info.heard, info.since) > 3 * s_.report) ++silent_ones;
+    if (now - std::max(info.heard, info.since) > 3 * settings_.report) ++silent_ones;
   }
   some_silent_ = some_silent_ || silent_ones > 0;
-  p.silent = silent_ones;
+  shard.silent = silent_ones;
   // Without the state service no machine is given up: it may be we who are cut off.
-  const bool blind = !StateFresh(now);
+  const bool without_state = !StateFresh(now);
   // When most fall silent at once, it is rather we who cannot hear, all the more when
   // none is heard.
-  const bool deaf = total >= 3 && silent_ones * 10 > total * 6;
-  const bool stone_deaf = deaf && silent_ones * 20 > total * 19;
+  const bool hears_few = total >= 3 && silent_ones * 10 > total * 6;
+  const bool hears_nobody = hears_few && silent_ones * 20 > total * 19;
   const std::set<std::string> cut = ZonesCutOff(now);
-  for (const auto& [name, m] : p.roster.machines) {
+  for (const auto& [name, m] : shard.assignments.machines) {
     MachineInfo& info = machines_[name];
     const MachineType* type = TypeOf(m.type);
     if (info.since == 0) info.since = now;
     Micros silent = now - std::max(info.heard, info.since);
     bool lost = info.failed;
-    if (info.missing && silent > 3 * s_.report / 2) lost = true;
+    if (info.missing && silent > 3 * settings_.report / 2) lost = true;
     // By the time that the cloud has it back it has ended its tasks itself.
-    // In a zone that is cut off, a sibling may be keeping leases alive, for as long
+    // In a zone that is cut off, a peer may be keeping leases alive, for as long
     // as no cancel can be overrun. When we seem to be deaf we wait as long, but not
     // for ever. Not longer either: a zone that was away for 60 s had its replicas
     // missed for a third of that time (see docs/rounds.md).
-    const bool kept = deaf || cut.count(m.zone) != 0;
-    Micros patience = stone_deaf ? 4 * s_.cancel
-                      : kept     ? Longest(s_.cancel) + 300 * kMilli
-                                 : s_.lease - std::min(s_.lease / 20, kReturnTakes);
+    const bool kept = hears_few || cut.count(m.zone) != 0;
+    Micros patience = hears_nobody ? 4 * settings_.cancel
+                      : kept       ? Longest(settings_.cancel) + 300 * kMilli
+                                   : settings_.lease - std::min(settings_.lease / 20, kReturnTakes);
     if (info.first_heard != 0 && silent > patience) lost = true;
     if (info.first_heard == 0 && type != nullptr) {
-      Micros boot = static_cast<Micros>(s_.op.boot_patience() * static_cast<double>(type->boot));
+      Micros boot =
+          static_cast<Micros>(settings_.op.boot_patience() * static_cast<double>(type->boot));
       if (silent > boot + 10 * kSecond) lost = true;
       if (info.listed_running && !m.attempts.empty() && silent > patience + 5 * kSecond) {
         lost = true;
       }
     }
-    if (lost && !blind && !info.give_up && !m.leaving) {
+    if (lost && !without_state && !info.give_up && !m.leaving) {
       info.give_up = true;
       Log(LogLine::Level::kInfo, "giving up " + name +
                                      (info.failed    ? ": failed"
                                       : info.missing ? ": no longer listed"
                                                      : ": silent"));
-      Touch(part);
+      MarkDirty(shard_id);
     }
     bool busy = false;
     bool stops = false;  // that its reports do not come to ask for
     for (const Attempt& a : m.attempts) {
       auto at = attempts_.find(a);
-      if (silent > 3 * s_.report / 2 && at != attempts_.end() && at->second.seen &&
+      if (silent > 3 * settings_.report / 2 && at != attempts_.end() && at->second.seen &&
           at->second.stopping && !at->second.gone) {
         if (at->second.state != TaskState::kSaving) at->second.stop_sent = false;
         stops = true;
@@ -114,7 +115,7 @@
       } else if (spec.kind == JobKind::kService || ran + (info.notice_end - now) < spec.estimate) {
         StopAttempt(now, a, &at->second, 0);
       }
-      Push(now, part, name);
+      Push(now, shard_id, name);
     }
     if (busy || info.first_heard == 0) {
       info.idle_since = 0;
@@ -122,9 +123,9 @@
       info.idle_since = now;
     }
     // Whatever waits for a direct command that could not be sent before.
-    if (stops || info.probe || info.token_seen < TokenOf(part, info) ||
-        info.need_token > info.token_seen) {
-      Push(now, part, name);
+    if (stops || info.probe || info.token_seen < TokenOf(shard_id, info) ||
+        info.required_token > info.token_seen) {
+      Push(now, shard_id, name);
     }
   }
 }
--- a/src/core/helping.cc
+++ b/src/core/tail_help.cc
@@ -2,19 +2,19 @@
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/draft.h"
+#include "core/plan.h"
 #include "core/tail.h"
 
 namespace troutlink {
 
 // The tail of array jobs: SpeQuloS' trigger, sizing and order (docs/design.md).
-void Core::DraftTail(Micros now, int part, Draft* draft) {
+void Core::PlanTailHelp(Micros now, int shard_id, Plan* plan) {
   for (auto& [id, run] : runs_) {
-    if (run.part != part) continue;
+    if (run.shard_id != shard_id) continue;
     const JobEntry* job = FindJob(id);
     if (job == nullptr || JobOver(id) || job->record.spec.kind != JobKind::kArray) continue;
     const JobSpec& spec = job->record.spec;
-    if (!TailReached(s_.op.tail_threshold(), run.done, spec.tasks)) continue;
+    if (!TailReached(settings_.op.tail_threshold(), run.done, spec.tasks)) continue;
     Micros median = 0;
     if (!run.durations.empty()) {
       std::vector<Micros> sorted = run.durations;
@@ -29,16 +29,16 @@
       auto& [a, at] = *it;
       if (at.gone || at.stopping || at.running_at == 0) continue;
       if (run.moved.count(a.task) != 0) continue;
-      if (TailOverdue(now - at.running_at, median, s_.op.overdue_margin())) {
+      if (TailOverdue(now - at.running_at, median, settings_.op.overdue_margin())) {
         overdue.emplace_back(a, &at);
       }
     }
     int candidates = pending + static_cast<int>(overdue.size());
     if (candidates == 0) continue;
-    JobSpread& spread = draft->SpreadOf(spec);
-    // Steady room that the part has already serves as a helper at no new cost.
+    JobSpread& spread = plan->SpreadOf(spec);
+    // Steady room that the shard has already serves as a helper at no new cost.
     int room = 0;
-    for (const PlaceMachine& m : draft->machines) {
+    for (const PlaceMachine& m : plan->machines) {
       if (m.spot || !m.usable || !Allowed(spec, spread, m)) continue;
       if (!m.helps.empty() && m.helps != id) continue;
       Amount left = m.free;
@@ -47,29 +47,30 @@
         ++room;
       }
     }
-    if (draft->roster.helps.count(id) == 0) {
-      double credit = TailCredit(s_.op.credit_share(), spec.tasks, spec.estimate, spec.each.cpus);
+    if (plan->assignments.helps.count(id) == 0) {
+      double credit =
+          TailCredit(settings_.op.credit_share(), spec.tasks, spec.estimate, spec.each.cpus);
       Micros elapsed = WallNow(now) - job->record.submitted;
       double cpus = TailCpus(credit, TailRemaining(elapsed, run.done, spec.tasks));
-      draft->roster.helps[id] = {credit};
-      draft->urgent = true;
+      plan->assignments.helps[id] = {credit};
+      plan->urgent = true;
       ++counters_.tails;
       Offer offer;
       if (candidates > room &&
-          PickOffer(now, spec, spread, false, InZones(draft->roster), &offer)) {
+          PickOffer(now, spec, spread, false, InZones(plan->assignments), &offer)) {
         int n = TailHelpers(cpus, candidates - room, spec.each.cpus, offer.type->size.cpus);
         if (n > 0) {
-          AddHire(part, draft, offer, false, n, id, "the tail of " + id);
+          AddRental(shard_id, plan, offer, false, n, id, "the tail of " + id);
           counters_.helpers += static_cast<uint64_t>(n);
         }
       }
     }
-    if (draft->roster.helps[id].credit <= 0) continue;  // help ends with the credit
+    if (plan->assignments.helps[id].credit <= 0) continue;  // help ends with the credit
     room -= pending;
     for (auto& [a, at] : overdue) {
       if (room <= 0) break;
       const PlaceMachine* on = nullptr;
-      for (const PlaceMachine& m : draft->machines) {
+      for (const PlaceMachine& m : plan->machines) {
         if (m.name == at->machine) on = &m;
       }
       // A steady machine that is well gives it no better place to go.
@@ -78,10 +79,10 @@
       run.moved.insert(a.task);
       at->moved = true;
       ++counters_.overdue;
-      draft->roster.helps[id].credit -=
+      plan->assignments.helps[id].credit -=
           static_cast<double>(spec.each.cpus) / 1000.0 * ToSeconds(median) / 3600.0;
       StopAttempt(now, a, at, spec.checkpoint > 0 ? spec.save + kSecond : 0);
-      Push(now, part, at->machine);
+      Push(now, shard_id, at->machine);
     }
   }
 }
--- /dev/null
+++ b/src/core/transfer.cc
@@ -0,0 +1,171 @@
+// What passes between shards: jobs that move, free machines, shares of limits.
+#include <algorithm>
+
+#include "core/core.h"
+#include "core/plan.h"
+#include "core/quota.h"
+
+namespace troutlink {
+
+namespace {
+constexpr Micros kAcquireAfter = 1500 * kMilli;
+constexpr Micros kAcquireLate = 8 * kSecond;
+constexpr Micros kNoMachinePatience = 3 * kSecond;
+constexpr Micros kMovePatience = 500 * kMilli;
+}  // namespace
+
+// A job of which nothing has started and that finds no room here goes to a shard
+// that has it.
+void Core::PlanJobMoves(Micros now, int shard_id, Plan* plan) {
+  int asked = 0;
+  for (const Plan::Unplaced& u : plan->unplaced) {
+    if (plan->moved.size() >= 3) break;
+    const JobSpec& spec = *u.spec;
+    JobRun* run = RunOf(spec.id);
+    if (run == nullptr || run->done > 0 || run->placed > 0 || plan->jobs.count(spec.id) != 0) {
+      continue;
+    }
+    const JobEntry* job = FindJob(spec.id);
+    if (job == nullptr || job->record.moves >= (spec.kind == JobKind::kService ? 2 : 6)) continue;
+    Micros patience = spec.priority == Priority::kProduction ? 60 * kMilli : 1500 * kMilli;
+    if (run->unplaced_since == 0 || now - run->unplaced_since < patience) continue;
+    // Looking at all shards costs: each job asks now and then, a few in a round.
+    if (now < run->move_at || ++asked > 4) continue;
+    run->move_at =
+        now + (spec.priority == Priority::kProduction ? kMovePatience / 5 : kMovePatience);
+    std::vector<Room> rooms = RoomsFor(spec);
+    int best = -1;
+    if (rooms[static_cast<size_t>(shard_id)].machines == 0 && plan->assignments.rentals.empty() &&
+        now - run->unplaced_since > kNoMachinePatience) {
+      // No machine here could ever take it: to a shard that can wait for one.
+      for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
+        const Room& room = rooms[static_cast<size_t>(other_id)];
+        if (!room.owned || room.machines == 0) continue;
+        if (best < 0 || room.machines > rooms[static_cast<size_t>(best)].machines) best = other_id;
+      }
+    }
+    for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
+      const Room& room = rooms[static_cast<size_t>(other_id)];
+      if (other_id == shard_id || !room.owned || room.placeable < std::min(spec.tasks, 8)) continue;
+      if (best < 0 || room.now_free > rooms[static_cast<size_t>(best)].now_free) best = other_id;
+    }
+    if (best < 0) continue;
+    plan->moved[spec.id] = best;
+    plan->urgent = true;
+    plan->critical = plan->critical || spec.priority == Priority::kProduction;
+    Log(LogLine::Level::kDebug, "move " + spec.id + " from shard " + std::to_string(shard_id) +
+                                    " to " + std::to_string(best));
+  }
+}
+
+// Free machines of other shards that may be taken now.
+void Core::FindAcquirable(Micros now, int shard_id, Plan* plan) {
+  plan->acquirable_known = true;
+  const Waits& waits = WaitingCpus();
+  for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
+    const Shard& other = shards_[static_cast<size_t>(other_id)];
+    if (other_id == shard_id || other.chunks.count(0) == 0 || other.committing) continue;
+    // What waits there is about to use them: a first wave of jobs once took a
+    // shard's machines away before it could decide, and left it with its services.
+    const Micros after = waits[static_cast<size_t>(other_id)][0] > 0 ? kAcquireLate : kAcquireAfter;
+    for (const auto& [name, m] : other.assignments.machines) {
+      if (!m.attempts.empty() || m.leaving || !m.helps.empty()) continue;
+      if (m.addr.empty() || !plan->MayChange(name)) continue;  // still booting
+      // One that its leader misses is no room: dead machines went from shard to shard, and
+      // each began to wait for them anew.
+      auto known = machines_.find(name);
+      if (!other.is_leader && known != machines_.end() &&
+          (known->second.reported_silent_since != 0 || known->second.failed)) {
+        continue;
+      }
+      auto since = free_since_.find(name);
+      if (!other.is_leader && (since == free_since_.end() || now - since->second < after)) continue;
+      if (other.is_leader) {
+        auto info = machines_.find(name);
+        if (info == machines_.end() || !Usable(now, m, info->second)) continue;
+      }
+      plan->acquirable.emplace_back(other_id, name);
+    }
+  }
+}
+
+// Takes one free machine of another shard for a task that has no room here.
+bool Core::PlanAcquisition(Micros now, int shard_id, Plan* plan, const JobSpec& spec) {
+  if (now < shards_[static_cast<size_t>(shard_id)].acquire_after) return false;
+  if (!plan->acquirable_known) FindAcquirable(now, shard_id, plan);
+  for (auto it = plan->acquirable.begin(); it != plan->acquirable.end(); ++it) {
+    const auto& [other_id, name] = *it;
+    const Shard& other = shards_[static_cast<size_t>(other_id)];
+    // A shard that is busy committing would only make this commit fail.
+    if (now - other.changed_at < 60 * kMilli && spec.priority != Priority::kProduction) continue;
+    // One other shard in a commit, or it outgrows the transaction.
+    if (!plan->others.empty() && plan->others.count(other_id) == 0) continue;
+    const AssignedMachine& m = other.assignments.machines.at(name);
+    const MachineType* type = TypeOf(m.type);
+    if (type == nullptr || !spec.each.Fits(type->size) || !plan->MayChange(name)) continue;
+    PlaceMachine machine = EmptyMachine(now, m);
+    machine.usable = true;
+    if (!Allowed(spec, plan->SpreadOf(spec), machine)) continue;
+    // Leave the other shard something for its own critical starts.
+    if (!m.spot && spec.priority != Priority::kProduction) {
+      int64_t steady_free = 0;
+      for (const auto& [from, n] : plan->acquirable) {
+        if (from != other_id) continue;
+        const AssignedMachine& o = other.assignments.machines.at(n);
+        const MachineType* t = TypeOf(o.type);
+        if (!o.spot && t != nullptr) steady_free += t->size.cpus;
+      }
+      if (steady_free - type->size.cpus <
+          static_cast<int64_t>(1000 * settings_.op.service_headroom_cpus())) {
+        continue;
+      }
+    }
+    AssignmentTable& changed = plan->others.try_emplace(other_id, other.assignments).first->second;
+    changed.machines.erase(name);
+    plan->assignments.machines[name] = m;
+    plan->machines.push_back(std::move(machine));
+    plan->index.Add(&plan->machines.back());
+    plan->Change(name);
+    plan->urgent = true;
+    plan->acquirable.erase(it);
+    return true;
+  }
+  return false;
+}
+
+// Moves unused shares of a team's limit here.
+bool Core::PlanQuotaTransfer(Micros now, int shard_id, Plan* plan, const Team& team,
+                             const Share& want) {
+  if (now < shards_[static_cast<size_t>(shard_id)].acquire_after) return false;
+  Share own = ShareOf(plan->assignments, team, shard_id, settings_.shard_count());
+  Share missing = want;
+  const Share used = plan->use.teams[team.name];
+  missing.cpus -= own.cpus - used.cpus;
+  missing.gpus -= own.gpus - used.gpus;
+  bool moved = false;
+  for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
+    if (other_id == shard_id || (missing.cpus <= 0 && missing.gpus <= 0)) continue;
+    const Shard& other = shards_[static_cast<size_t>(other_id)];
+    if (other.chunks.count(0) == 0 || other.committing) continue;
+    if (!plan->others.empty() && plan->others.count(other_id) == 0) continue;
+    const AssignmentTable& theirs =
+        plan->others.count(other_id) != 0 ? plan->others.at(other_id) : other.assignments;
+    Share share = ShareOf(theirs, team, other_id, settings_.shard_count());
+    auto theirs_used = other.use.teams.find(team.name);
+    Share move = Movable(
+        share, theirs_used == other.use.teams.end() ? Share() : theirs_used->second, missing);
+    if (move.cpus <= 0 && move.gpus <= 0) continue;
+    AssignmentTable& changed = plan->others.try_emplace(other_id, other.assignments).first->second;
+    changed.shares[team.name] = {share.cpus - move.cpus, share.gpus - move.gpus};
+    own.cpus += move.cpus;
+    own.gpus += move.gpus;
+    missing.cpus -= move.cpus;
+    missing.gpus -= move.gpus;
+    plan->assignments.shares[team.name] = own;
+    ++counters_.share_moves;
+    moved = true;
+  }
+  return moved;
+}
+
+}  // namespace troutlink
