--- a/src/core/workers.cc
+++ b/src/core/workers.cc
@@ -12,27 +12,27 @@
 constexpr Micros kRelayFor = 20 * kSecond;
 constexpr Micros kGraceSlack = 3 * kSecond;
 constexpr Micros kLapseSlack = 2 * kSecond;
-constexpr size_t kMostUnknown = 10000;  // machines; bounded, as anyone may report
+constexpr size_t kMaxUnknown = 10000;  // machines; bounded, as anyone may report
 }  // namespace
 
-uint64_t Core::TokenOf(int part, const MachineInfo& info) const {
-  return std::max(TokenAt(parts_[static_cast<size_t>(part)].my_claim), info.fence);
+uint64_t Core::TokenOf(int shard_id, const MachineInfo& info) const {
+  return std::max(TokenForEpoch(shards_[static_cast<size_t>(shard_id)].epoch), info.fencing_token);
 }
 
-// A fence used to be a commit's revision: in an outage there was none, the machine's lease
+// A fencing token used to be a commit's revision: in an outage there was none, the machine's lease
 // was renewed under the token of a command that was still under way, and the command was
 // carried out long after its job had been cancelled.
-void Core::Fence(int part, MachineInfo* info, uint64_t token) {
-  info->need_token = std::max(info->need_token, token + 1);
-  if (info->need_token <= TokenOf(part, *info)) return;
-  ++counters_.fences;
-  info->fence = info->need_token;
+void Core::RaiseFencingToken(int shard_id, MachineInfo* info, uint64_t token) {
+  info->required_token = std::max(info->required_token, token + 1);
+  if (info->required_token <= TokenOf(shard_id, *info)) return;
+  ++counters_.fencing_raises;
+  info->fencing_token = info->required_token;
 }
 
 bool Core::JobOver(const std::string& job) const {
   const JobEntry* entry = FindJob(job);
   return entry == nullptr || entry->record.state != JobState::kOpen ||
-         heard_cancels_.count(job) != 0;
+         reported_cancels_.count(job) != 0;
 }
 
 void Core::AnswerReport(uint64_t request, const std::string& relay_from, uint64_t relay_id,
@@ -53,72 +53,72 @@
     AnswerReport(request, relay_from, relay_id, 400, wire::EncodeError("malformed report"));
     return;
   }
-  if (!synced_ && view_at_ == 0) {
+  if (!synced_ && replica_time_ == 0) {
     AnswerReport(request, relay_from, relay_id, 503, wire::EncodeError("not ready"));
     return;
   }
-  int part = PartOfMachine(report->machine);
-  bool in_roster = part >= 0;
-  if (!in_roster) {
-    part = static_cast<int>(StableHash(report->machine) % parts_.size());
+  int shard_id = ShardOfMachine(report->machine);
+  bool assigned = shard_id >= 0;
+  if (!assigned) {
+    shard_id = static_cast<int>(StableHash(report->machine) % shards_.size());
     // Kept by every node: the one that rented it may learn its name any moment.
-    if (unknown_.size() < kMostUnknown || unknown_.count(report->machine) != 0) {
+    if (unknown_.size() < kMaxUnknown || unknown_.count(report->machine) != 0) {
       unknown_[report->machine] = *report;
     }
     stray_since_.try_emplace(report->machine, now);
-    if (parts_[static_cast<size_t>(part)].mine) {
-      Touch(part);
+    if (shards_[static_cast<size_t>(shard_id)].is_leader) {
+      MarkDirty(shard_id);
       AnswerReport(request, relay_from, relay_id, 503, wire::EncodeError("not adopted yet"));
       return;
     }
   }
-  Part& p = parts_[static_cast<size_t>(part)];
-  bool superseded = p.rival_claim > p.my_claim;
-  if (in_roster && (superseded || p.my_claim == 0) && MayCare(now, part, *report)) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  bool superseded = shard.rival_epoch > shard.epoch;
+  if (assigned && (superseded || shard.epoch == 0) && MayRenewOnBehalf(now, shard_id, *report)) {
     // The token is the worker's own: an equal one is accepted from any node, and
-    // whoever claims the part later has a higher one. Nothing is started; what
+    // whoever leads the shard later has a higher one. Nothing is started; what
     // was cancelled ends.
-    ++counters_.cared;
+    ++counters_.renewed_on_behalf;
     AnswerReport(request, relay_from, relay_id, 200,
                  wire::EncodeReportReply(report->token, StopsOfOver(*report)));
     return;
   }
-  if (!in_roster || superseded || p.my_claim == 0) {
-    std::string owner = OwnerLabel(part);
-    if (owner == s_.label) owner.clear();
-    if (!relay_from.empty() || owner.empty()) {
+  if (!assigned || superseded || shard.epoch == 0) {
+    std::string leader = LeaderLabel(shard_id);
+    if (leader == settings_.label) leader.clear();
+    if (!relay_from.empty() || leader.empty()) {
       ++counters_.redirects;
-      AnswerReport(request, relay_from, relay_id, owner.empty() ? 503 : 421,
-                   wire::EncodeReportTo(owner));
+      AnswerReport(request, relay_from, relay_id, leader.empty() ? 503 : 421,
+                   wire::EncodeReportTo(leader));
       return;
     }
     MachineInfo& info = machines_[report->machine];
-    bool came_back = info.redirected_to == owner && now - info.redirected_at < kRedirectMemory &&
+    bool came_back = info.redirected_to == leader && now - info.redirected_at < kRedirectMemory &&
                      now - info.redirected_at > kSecond;
-    auto peer = peers_.find(owner);
+    auto peer = peers_.find(leader);
     bool reachable = peer != peers_.end() && now - peer->second.heard < 2 * kSecond;
     if (came_back && reachable) info.relay_until = now + kRelayFor;
     if (now < info.relay_until && reachable) {
-      // The worker cannot reach its owner, but we can.
+      // The worker cannot reach its leader, but we can.
       ++counters_.relays;
       uint64_t id = next_relay_++;
       relays_[id] = {request, now};
-      out_.peers.push_back({owner, mesh::Relay{id, body}});
+      out_.peers.push_back({leader, mesh::Relay{id, body}});
       return;
     }
     info.redirected_at = now;
-    info.redirected_to = owner;
+    info.redirected_to = leader;
     ++counters_.redirects;
-    AnswerReport(request, relay_from, relay_id, 421, wire::EncodeReportTo(owner));
+    AnswerReport(request, relay_from, relay_id, 421, wire::EncodeReportTo(leader));
     return;
   }
-  auto machine = p.roster.machines.find(report->machine);
-  if (machine == p.roster.machines.end()) {
+  auto machine = shard.assignments.machines.find(report->machine);
+  if (machine == shard.assignments.machines.end()) {
     AnswerReport(request, relay_from, relay_id, 503, wire::EncodeError("not adopted yet"));
     return;
   }
   MachineInfo& info = machines_[report->machine];
-  uint64_t token = TokenOf(part, info);
+  uint64_t token = TokenOf(shard_id, info);
   if (report->token > token) {
     // Somebody is entitled who knows more than we do.
     ++counters_.redirects;
@@ -131,11 +131,11 @@
     return;
   }
   std::vector<Command> orders;
-  if (TakeReport(now, part, machine->second, *report, false)) {
-    orders = MakeOrders(now, part, machine->second, *report);
+  if (ProcessReport(now, shard_id, machine->second, *report, false)) {
+    orders = MakeOrders(now, shard_id, machine->second, *report);
     // Nothing is started before the worker saw our token; do not wait for its
     // next report to learn that it did.
-    if (report->token < info.need_token) Push(now, part, report->machine);
+    if (report->token < info.required_token) Push(now, shard_id, report->machine);
   } else if (report->session != info.session) {
     // Late, from a session that is over.
     AnswerReport(request, relay_from, relay_id, 503, wire::EncodeError("old session"));
@@ -171,23 +171,23 @@
 // alive and does nothing. It gets no more work once the orders of two answers had
 // no effect, or once its lease ended although we had just answered it. Then it is
 // asked directly: an answer clears it, and without one it goes back.
-void Core::CheckHeeded(Micros now, int part, MachineInfo* info, const Report& report,
-                       bool new_session) {
+void Core::CheckAnswersTakeEffect(Micros now, int shard_id, MachineInfo* info, const Report& report,
+                                  bool new_session) {
   if (new_session) {
     const bool answered =
-        info->answered_at != 0 && now - info->answered_at < Shortest(s_.lease) - kLapseSlack;
+        info->answered_at != 0 && now - info->answered_at < Shortest(settings_.lease) - kLapseSlack;
     info->answered_at = 0;
     info->ordered.clear();
     if (!answered) return;
-    ++counters_.unheeding;
-    ++info->lapses;
-    info->unheeded = std::max(info->unheeded, kMostUnheeded);
+    ++counters_.unresponsive;
+    ++info->lease_losses;
+    info->ignored_answers = std::max(info->ignored_answers, kMaxIgnoredAnswers);
     info->probe = true;
     info->no_direct_before = std::min(info->no_direct_before, now);
-    if (info->lapses < 2 && info->direct_failures == 0) return;
+    if (info->lease_losses < 2 && info->direct_failures == 0) return;
     info->give_up = true;
     Log(LogLine::Level::kInfo, "giving up " + report.machine + ": it does not hear us");
-    Touch(part);
+    MarkDirty(shard_id);
     return;
   }
   if (info->ordered.empty()) return;
@@ -204,36 +204,36 @@
     bool start = at != attempts_.end() && !at->second.gone;
     if (start ? there : !there || !ended) ++done;
   }
-  info->unheeded = done > 0 ? 0 : info->unheeded + 1;
-  if (done > 0) info->lapses = 0;
-  if (info->unheeded >= kMostUnheeded) info->probe = true;
+  info->ignored_answers = done > 0 ? 0 : info->ignored_answers + 1;
+  if (done > 0) info->lease_losses = 0;
+  if (info->ignored_answers >= kMaxIgnoredAnswers) info->probe = true;
   info->ordered.clear();
 }
 
-bool Core::MayCare(Micros now, int part, const Report& report) const {
-  const Part& p = parts_[static_cast<size_t>(part)];
-  // A start of the owner may be under way under the same token, sent without knowing what
-  // we learn soon after: until its owner would have given up on it and fenced it.
+bool Core::MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const {
+  const Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  // A start of the leader may be under way under the same token, sent without knowing what
+  // we learn soon after: until its leader would have given up on it and fenced it.
   if (StateFresh(now) || !MayRenew(now + kCommandTimeout)) return false;
-  uint64_t claim = std::max(p.claim_version, p.rival_claim);
-  if (claim == 0 || report.token < TokenAt(claim)) return false;
-  std::string owner = OwnerLabel(part);
-  if (owner.empty() || owner == s_.label) return false;
-  auto peer = peers_.find(owner);
+  uint64_t epoch = std::max(shard.leadership_version, shard.rival_epoch);
+  if (epoch == 0 || report.token < TokenForEpoch(epoch)) return false;
+  std::string leader = LeaderLabel(shard_id);
+  if (leader.empty() || leader == settings_.label) return false;
+  auto peer = peers_.find(leader);
   if (peer == peers_.end()) return false;
-  // An owner that lives and knows that it is one answers for itself.
+  // A leader that lives and knows that it is one answers for itself.
   bool gone = now - peer->second.heard > 1500 * kMilli ||
-              peer->second.holds.count(static_cast<uint64_t>(part)) == 0;
+              peer->second.holds.count(static_cast<uint64_t>(shard_id)) == 0;
   if (!gone) return false;
-  // Nor may a sibling that reaches the state service be about to take over.
+  // Nor may a peer that reaches the state service be about to take over.
   for (const auto& [label, other] : peers_) {
     if (now - other.heard < 1500 * kMilli && other.state_age < kSecond) return false;
   }
   return true;
 }
 
-void Core::TouchImage(MachineInfo* info, const std::string& type_name, const std::string& image,
-                      double gb, Micros now) {
+void Core::NoteImageUse(MachineInfo* info, const std::string& type_name, const std::string& image,
+                        double gb, Micros now) {
   info->images[image] = now;
   info->image_gb[image] = gb;
   const MachineType* type = TypeOf(type_name);
@@ -253,8 +253,8 @@
 
 // Learns from a report or from the answer to a direct command. False when it
 // is not newer than what is known.
-bool Core::TakeReport(Micros now, int part, const RosterMachine& machine, const Report& report,
-                      bool direct) {
+bool Core::ProcessReport(Micros now, int shard_id, const AssignedMachine& machine,
+                         const Report& report, bool direct) {
   MachineInfo& info = machines_[machine.name];
   bool first = info.session == 0;
   if (!first && (report.session < info.session ||
@@ -264,21 +264,21 @@
   }
   bool new_session = !first && report.session > info.session;
   // Most reports change nothing that a round would look at.
-  bool changed =
-      first || new_session || now - info.heard > 2 * s_.report || info.token_seen < info.need_token;
+  bool changed = first || new_session || now - info.heard > 2 * settings_.report ||
+                 info.token_seen < info.required_token;
   if (!direct) {
-    CheckHeeded(now, part, &info, report, new_session);
+    CheckAnswersTakeEffect(now, shard_id, &info, report, new_session);
   } else {
-    info.unheeded = info.lapses = 0;  // it answered
+    info.ignored_answers = info.lease_losses = 0;  // it answered
     info.ordered.clear();
   }
   info.session = report.session;
   info.seq = report.seq;
   info.token_seen = std::max(info.token_seen, report.token);
   info.heard = now;
-  info.quiet_since = 0;
+  info.reported_silent_since = 0;
   info.probe = info.probe && !direct;
-  if (info.unheeded == 0) info.probe = false;
+  if (info.ignored_answers == 0) info.probe = false;
   if (info.first_heard == 0) {
     // It has just booted: what failed before then says nothing.
     info.first_heard = now;
@@ -287,14 +287,14 @@
   }
   if (!report.addr.empty()) info.addr = report.addr;
   if (report.notice) {
-    if (info.notice_end == 0) Touch(part);
+    if (info.notice_end == 0) MarkDirty(shard_id);
     info.notice_end = now + *report.notice;
   }
   info.tasks = report.tasks;
-  // An absence is a proof only once commands of earlier owners, and commands
+  // An absence is a proof only once commands of earlier leaders, and commands
   // of ours without an answer, can no longer run: the worker saw a token above
   // theirs.
-  const bool clean = report.token >= info.need_token;
+  const bool clean = report.token >= info.required_token;
   std::map<Attempt, const TaskReport*> have;
   for (const TaskReport& t : report.tasks) have[{t.job, t.task, t.attempt}] = &t;
   for (const Attempt& a : machine.attempts) {
@@ -319,46 +319,47 @@
       if (t.state != TaskState::kFetching) {
         if (const JobEntry* job = FindJob(a.job)) {
           if (!job->record.spec.image.empty()) {
-            TouchImage(&info, machine.type, job->record.spec.image, job->record.spec.image_gb, now);
+            NoteImageUse(&info, machine.type, job->record.spec.image, job->record.spec.image_gb,
+                         now);
           }
         }
       }
-      if (t.state == TaskState::kExited) TaskExited(now, part, machine, a, &at, t);
+      if (t.state == TaskState::kExited) TaskExited(now, shard_id, machine, a, &at, t);
       continue;
     }
     // Not in the report.
     if (new_session && at.session != 0 && at.session < report.session) {
-      MarkGone(part, a, &at);  // a new session begins without tasks
+      MarkGone(shard_id, a, &at);  // a new session begins without tasks
       continue;
     }
     if (direct || at.direct || !clean) continue;
     if (at.seen) {
-      MarkGone(part, a, &at);
+      MarkGone(shard_id, a, &at);
     } else if (!at.fresh) {
-      MarkGone(part, a, &at);  // inherited, and never started
+      MarkGone(shard_id, a, &at);  // inherited, and never started
     } else if ((JobOver(a.job) || at.stopping) &&
                (at.reply_seq == 0 || at.reply_seq < report.seq)) {
       // Decided but never started, and no longer wanted. A start in a reply to
       // an earlier report was taken or dropped before this report was made.
-      MarkGone(part, a, &at);
+      MarkGone(shard_id, a, &at);
     }
   }
-  if (changed) Touch(part);
+  if (changed) MarkDirty(shard_id);
   return true;
 }
 
-void Core::MarkGone(int part, const Attempt& attempt, AttemptInfo* info) {
+void Core::MarkGone(int shard_id, const Attempt& attempt, AttemptInfo* info) {
   if (info->gone) return;
   info->gone = true;
   ++counters_.gone;
-  parts_[static_cast<size_t>(part)].cleanup = true;
-  Touch(part);
+  shards_[static_cast<size_t>(shard_id)].cleanup = true;
+  MarkDirty(shard_id);
   auto run = runs_.find(attempt.job);
   if (run == runs_.end()) return;
   JobRun& r = run->second;
   auto i = static_cast<size_t>(attempt.task);
   if (i >= r.tasks.size() || r.tasks[i] != kPlaced) return;
-  // A roster that is changed a few chunks at a time may still name an attempt that
+  // An assignment table that is changed a few chunks at a time may still name an attempt that
   // is gone when the next one of its task is on record already. Whoever takes the
   // part over inherits both: the end of one frees the task only without the other.
   for (auto it = attempts_.lower_bound({attempt.job, attempt.task, 0});
@@ -371,17 +372,17 @@
   r.hint = std::min(r.hint, attempt.task);
 }
 
-void Core::TaskExited(Micros now, int part, const RosterMachine& machine, const Attempt& attempt,
-                      AttemptInfo* info, const TaskReport& task) {
+void Core::TaskExited(Micros now, int shard_id, const AssignedMachine& machine,
+                      const Attempt& attempt, AttemptInfo* info, const TaskReport& task) {
   auto run = runs_.find(attempt.job);
-  MarkGone(part, attempt, info);
+  MarkGone(shard_id, attempt, info);
   MachineInfo& mi = machines_[machine.name];
   // A copy of the direct command that started it may arrive at any later time, and after
   // the reap it would start the task once more: where that matters the worker sees a
   // higher token first. What is done only exits as done again.
   if (task.why != ExitReason::kDone && info->start_token != 0 &&
       mi.token_seen <= info->start_token) {
-    Fence(part, &mi, info->start_token);
+    RaiseFencingToken(shard_id, &mi, info->start_token);
   }
   switch (task.why) {
     case ExitReason::kDone:
@@ -396,7 +397,7 @@
           r.tasks[i] = kDone;
           ++r.done;
           if (info->running_at != 0) r.durations.push_back(now - info->running_at);
-          parts_[static_cast<size_t>(part)].progress_dirty = true;
+          shards_[static_cast<size_t>(shard_id)].progress_dirty = true;
         }
       }
       break;
@@ -431,16 +432,16 @@
     if (at.gone) continue;
     StopAttempt(now, it->first, &at, 0);
     // What still waits for its image would begin before its machine reports again.
-    if (at.state == TaskState::kFetching && at.session != 0) Push(now, at.part, at.machine);
+    if (at.state == TaskState::kFetching && at.session != 0) Push(now, at.shard_id, at.machine);
   }
 }
 
-std::vector<Command> Core::MakeOrders(Micros now, int part, const RosterMachine& machine,
+std::vector<Command> Core::MakeOrders(Micros now, int shard_id, const AssignedMachine& machine,
                                       const Report& report) {
   std::vector<Command> orders;
-  Part& p = parts_[static_cast<size_t>(part)];
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
   MachineInfo& info = machines_[machine.name];
-  const bool clean = report.token >= info.need_token;
+  const bool clean = report.token >= info.required_token;
   std::set<Attempt> reported;
   for (const TaskReport& t : report.tasks) {
     Attempt a{t.job, t.task, t.attempt};
@@ -458,7 +459,7 @@
     if (!ours) {
       // Intended by nobody: its record was removed when it was proven gone, or
       // the machine was taken over from a past that nobody remembers.
-      if (p.mine) orders.push_back({Command::Op::kStop, t.job, t.task, t.attempt, 0});
+      if (shard.is_leader) orders.push_back({Command::Op::kStop, t.job, t.task, t.attempt, 0});
       continue;
     }
     AttemptInfo& at = it->second;
@@ -472,7 +473,7 @@
     }
   }
   // Starts whose command got lost.
-  if (!p.mine) return orders;
+  if (!shard.is_leader) return orders;
   for (const Attempt& a : machine.attempts) {
     if (reported.count(a) != 0) continue;
     auto it = attempts_.find(a);
@@ -490,18 +491,18 @@
 }
 
 // Sends what a machine has to hear now instead of waiting for its next report.
-void Core::Push(Micros now, int part, const std::string& name) {
-  Part& p = parts_[static_cast<size_t>(part)];
-  auto machine = p.roster.machines.find(name);
-  if (machine == p.roster.machines.end() || !p.mine) return;
+void Core::Push(Micros now, int shard_id, const std::string& name) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  auto machine = shard.assignments.machines.find(name);
+  if (machine == shard.assignments.machines.end() || !shard.is_leader) return;
   MachineInfo& info = machines_[name];
   if (info.direct_busy || info.addr.empty() || now < info.no_direct_before) return;
-  if (info.session == 0 || (info.probe && info.unheeded >= kMostUnheeded)) {
-    Probe(now, part, name);
+  if (info.session == 0 || (info.probe && info.ignored_answers >= kMaxIgnoredAnswers)) {
+    Probe(now, shard_id, name);
     return;
   }
   if (!MayRenew(now)) return;
-  const bool clean = info.token_seen >= info.need_token;
+  const bool clean = info.token_seen >= info.required_token;
   std::vector<Command> orders;
   std::vector<Attempt> started, stopped;
   for (const Attempt& a : machine->second.attempts) {
@@ -516,23 +517,23 @@
       stopped.push_back(a);
     } else if (at.fresh && !at.seen && !at.stopping && !over && at.session == 0 && clean) {
       at.direct = true;
-      at.start_token = TokenOf(part, info);
+      at.start_token = TokenOf(shard_id, info);
       at.session = info.session;
       started.push_back(a);
       ++counters_.starts;
       orders.push_back({Command::Op::kStart, a.job, a.task, a.number, 0});
     }
   }
-  // After a takeover the worker may still report to the owner before us: our
+  // After a takeover the worker may still report to the previous leader: our
   // token makes it look for the right one.
-  bool show_token = info.token_seen < TokenOf(part, info);
+  bool show_token = info.token_seen < TokenOf(shard_id, info);
   if (orders.empty() && !show_token) return;
   info.direct_busy = true;
-  uint64_t token = TokenOf(part, info);
+  uint64_t token = TokenOf(shard_id, info);
   Send(Dest::kWorker, info.addr, "POST", std::string(wire::kCommandsPath),
        wire::EncodeCommands(token, info.session, orders), kCommandTimeout,
-       [this, part, name, token, started, stopped, claim = p.my_claim](Micros t, int status,
-                                                                       const std::string& body) {
+       [this, shard_id, name, token, started, stopped, epoch = shard.epoch](
+           Micros t, int status, const std::string& body) {
          MachineInfo& mi = machines_[name];
          mi.direct_busy = false;
          for (const Attempt& a : started) {
@@ -545,7 +546,7 @@
            // It may run at any later time with this token: nothing on the
            // machine proves anything until the worker has seen a higher one.
            ++counters_.worker_unknown;
-           Fence(part, &mi, token);
+           RaiseFencingToken(shard_id, &mi, token);
          }
          if (!report) {
            // A machine that reaches no controller hears of stops in no other way.
@@ -558,21 +559,21 @@
            return;
          }
          mi.direct_failures = 0;
-         Part& q = parts_[static_cast<size_t>(part)];
-         if (!q.mine || q.my_claim != claim) return;
-         auto m = q.roster.machines.find(name);
-         if (m == q.roster.machines.end() || report->machine != name) return;
-         TakeReport(t, part, m->second, *report, true);
-         if (status == 200) Push(t, part, name);
+         Shard& shard = shards_[static_cast<size_t>(shard_id)];
+         if (!shard.is_leader || shard.epoch != epoch) return;
+         auto m = shard.assignments.machines.find(name);
+         if (m == shard.assignments.machines.end() || report->machine != name) return;
+         ProcessReport(t, shard_id, m->second, *report, true);
+         if (status == 200) Push(t, shard_id, name);
        });
 }
 
-void Core::Probe(Micros now, int part, const std::string& name) {
+void Core::Probe(Micros now, int shard_id, const std::string& name) {
   MachineInfo& info = machines_[name];
   if (info.direct_busy || info.addr.empty() || now < info.no_direct_before) return;
   info.direct_busy = true;
   Send(Dest::kWorker, info.addr, "GET", std::string(wire::kShowPath), "", kCommandTimeout,
-       [this, part, name](Micros t, int status, const std::string& body) {
+       [this, shard_id, name](Micros t, int status, const std::string& body) {
          MachineInfo& mi = machines_[name];
          mi.direct_busy = false;
          std::optional<Report> report;
@@ -583,11 +584,11 @@
            return;
          }
          mi.direct_failures = 0;
-         Part& q = parts_[static_cast<size_t>(part)];
-         auto m = q.roster.machines.find(name);
-         if (!q.mine || m == q.roster.machines.end()) return;
-         TakeReport(t, part, m->second, *report, true);
-         Push(t, part, name);
+         Shard& shard = shards_[static_cast<size_t>(shard_id)];
+         auto m = shard.assignments.machines.find(name);
+         if (!shard.is_leader || m == shard.assignments.machines.end()) return;
+         ProcessReport(t, shard_id, m->second, *report, true);
+         Push(t, shard_id, name);
        });
 }
 
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -87,7 +87,7 @@
   troutlink::Settings settings;
   if (!Load(config, op, &settings)) return 2;
   if (check->parsed()) {
-    std::cout << "settings of " << settings.label << " are good: " << settings.parts()
+    std::cout << "settings of " << settings.label << " are good: " << settings.shard_count()
               << " controllers, " << settings.teams.size() << " teams\n";
     return 0;
   }
--- a/src/mesh/codec.cc
+++ b/src/mesh/codec.cc
@@ -3,10 +3,10 @@
 namespace troutlink::mesh {
 namespace {
 
-constexpr uint64_t kMostItems = 100000;
+constexpr uint64_t kMaxItems = 100000;
 
 // A kind keeps its form: a changed one gets a new number, so that a node of another
-// release skips it. 0 and 1 were gossip that told of a node's own cancels only.
+// release skips it. 0 and 1 were heartbeats that told of a node's own cancels only.
 enum Kind : uint64_t {
   kRelay = 2,
   kRelayReply = 3,
@@ -31,17 +31,17 @@
 
 bool GetLength(std::string_view* in, uint64_t* n) {
   // Every item takes at least a byte: a longer list is a lie.
-  return GetVarint(in, n) && *n <= in->size() && *n <= kMostItems;
+  return GetVarint(in, n) && *n <= in->size() && *n <= kMaxItems;
 }
 
-void PutGossip(std::string* out, const Gossip& g) {
+void PutHeartbeat(std::string* out, const Heartbeat& g) {
   PutVarint(out, g.seq);
   PutVarint(out, g.state_age_us);
-  PutVarint(out, g.claims.size());
-  for (const PartClaim& c : g.claims) {
-    PutVarint(out, c.part);
+  PutVarint(out, g.epochs.size());
+  for (const ShardEpoch& c : g.epochs) {
+    PutVarint(out, c.shard_id);
     PutVarint(out, c.revision);
-    PutText(out, c.owner);
+    PutText(out, c.leader);
   }
   PutVarint(out, g.cancels.size());
   for (const std::string& c : g.cancels) PutText(out, c);
@@ -49,27 +49,27 @@
   PutVarint(out, g.seen);
   PutVarint(out, g.wanted.size());
   for (uint64_t p : g.wanted) PutVarint(out, p);
-  PutVarint(out, g.warm.size());
-  for (const Warm& w : g.warm) {
+  PutVarint(out, g.cached_images.size());
+  for (const CachedImages& w : g.cached_images) {
     PutText(out, w.machine);
     PutVarint(out, w.images.size());
     for (const std::string& image : w.images) PutText(out, image);
   }
-  PutVarint(out, g.quiet.size());
-  for (const Quiet& q : g.quiet) {
+  PutVarint(out, g.silent_machines.size());
+  for (const SilentMachine& q : g.silent_machines) {
     PutText(out, q.machine);
     PutVarint(out, q.silent_us);
   }
 }
 
-bool GetGossip(std::string_view* in, Gossip* g) {
+bool GetHeartbeat(std::string_view* in, Heartbeat* g) {
   uint64_t n = 0;
   if (!GetVarint(in, &g->seq) || !GetVarint(in, &g->state_age_us) || !GetLength(in, &n)) {
     return false;
   }
-  g->claims.resize(n);
-  for (PartClaim& c : g->claims) {
-    if (!GetVarint(in, &c.part) || !GetVarint(in, &c.revision) || !GetText(in, &c.owner)) {
+  g->epochs.resize(n);
+  for (ShardEpoch& c : g->epochs) {
+    if (!GetVarint(in, &c.shard_id) || !GetVarint(in, &c.revision) || !GetText(in, &c.leader)) {
       return false;
     }
   }
@@ -85,8 +85,8 @@
     if (!GetVarint(in, &p)) return false;
   }
   if (!GetLength(in, &n)) return false;
-  g->warm.resize(n);
-  for (Warm& w : g->warm) {
+  g->cached_images.resize(n);
+  for (CachedImages& w : g->cached_images) {
     if (!GetText(in, &w.machine) || !GetLength(in, &n)) return false;
     w.images.resize(n);
     for (std::string& image : w.images) {
@@ -94,8 +94,8 @@
     }
   }
   if (!GetLength(in, &n)) return false;
-  g->quiet.resize(n);
-  for (Quiet& q : g->quiet) {
+  g->silent_machines.resize(n);
+  for (SilentMachine& q : g->silent_machines) {
     if (!GetText(in, &q.machine) || !GetVarint(in, &q.silent_us)) return false;
   }
   return true;
@@ -128,10 +128,10 @@
   std::string body;
   if (const auto* ping = std::get_if<Ping>(&message)) {
     PutVarint(&body, kPing);
-    PutGossip(&body, *ping);
+    PutHeartbeat(&body, *ping);
   } else if (const auto* pong = std::get_if<Pong>(&message)) {
     PutVarint(&body, kPong);
-    PutGossip(&body, *pong);
+    PutHeartbeat(&body, *pong);
   } else if (const auto* relay = std::get_if<Relay>(&message)) {
     PutVarint(&body, kRelay);
     PutVarint(&body, relay->id);
@@ -165,12 +165,12 @@
   switch (kind) {
     case kPing: {
       Ping m;
-      if (GetGossip(&in, &m)) return m;
+      if (GetHeartbeat(&in, &m)) return m;
       break;
     }
     case kPong: {
       Pong m;
-      if (GetGossip(&in, &m)) return m;
+      if (GetHeartbeat(&in, &m)) return m;
       break;
     }
     case kRelay: {
@@ -212,7 +212,7 @@
     *bad = buffer_.size() >= 10;
     return false;
   }
-  if (n > kMostFrame) {
+  if (n > kMaxFrame) {
     *bad = true;
     return false;
   }
--- a/src/mesh/codec.h
+++ b/src/mesh/codec.h
@@ -15,51 +15,51 @@
 
 namespace troutlink::mesh {
 
-inline constexpr size_t kMostFrame = 256 * 1024;
+inline constexpr size_t kMaxFrame = 256 * 1024;
 
-struct PartClaim {
-  uint64_t part = 0;
+struct ShardEpoch {
+  uint64_t shard_id = 0;
   uint64_t revision = 0;
-  std::string owner;
-  bool operator==(const PartClaim&) const = default;
+  std::string leader;
+  bool operator==(const ShardEpoch&) const = default;
 };
 
 // Images of services that a machine of the sender's has.
-struct Warm {
+struct CachedImages {
   std::string machine;
   std::vector<std::string> images;
-  bool operator==(const Warm&) const = default;
+  bool operator==(const CachedImages&) const = default;
 };
 
 // A machine of the sender's that has been silent for so long: whoever takes the
 // part over must not count its silence from the takeover.
-struct Quiet {
+struct SilentMachine {
   std::string machine;
   uint64_t silent_us = 0;
-  bool operator==(const Quiet&) const = default;
+  bool operator==(const SilentMachine&) const = default;
 };
 
-// Sent a few times a second to every sibling; a Pong answers each.
-struct Gossip {
+// Sent a few times a second to every peer; a Pong answers each.
+struct Heartbeat {
   uint64_t seq = 0;           // of the ping, echoed by the pong
   uint64_t state_age_us = 0;  // since the state service last answered us
-  std::vector<PartClaim> claims;
+  std::vector<ShardEpoch> epochs;
   // Cancelled jobs that the sender knows of, whoever committed them, but for those with a
   // revision up to the receiver's `seen`; complete above `cancels_from`.
   std::vector<std::string> cancels;
   uint64_t cancels_from = 0;
-  uint64_t seen = 0;             // the sender's view holds all up to this revision
-  std::vector<uint64_t> wanted;  // parts the sender would like handed back
-  std::vector<Warm> warm;
-  std::vector<Quiet> quiet;
-  bool operator==(const Gossip&) const = default;
+  uint64_t seen = 0;             // the sender's replica holds all up to this revision
+  std::vector<uint64_t> wanted;  // shards the sender would like handed back
+  std::vector<CachedImages> cached_images;
+  std::vector<SilentMachine> silent_machines;
+  bool operator==(const Heartbeat&) const = default;
 };
 
-struct Ping : Gossip {};
-struct Pong : Gossip {};
+struct Ping : Heartbeat {};
+struct Pong : Heartbeat {};
 
 // A worker's report that reached a node which does not own the machine and
-// that the worker could not take to the owner itself.
+// that the worker could not take to the leader itself.
 struct Relay {
   uint64_t id = 0;
   std::string body;
--- a/src/runtime/client.cc
+++ b/src/runtime/client.cc
@@ -13,7 +13,7 @@
 namespace {
 constexpr Micros kConnectTimeout = kSecond;
 constexpr Micros kIdleTimeout = 30 * kSecond;
-constexpr size_t kMostWaiting = 256;
+constexpr size_t kMaxWaiting = 256;
 }  // namespace
 
 Client::~Client() {
@@ -199,7 +199,7 @@
   for (auto it = pools_.begin(); it != pools_.end();) {
     Pool& pool = it->second;
     while (!pool.waiting.empty() &&
-           (now >= pool.waiting.front().deadline || pool.waiting.size() > kMostWaiting)) {
+           (now >= pool.waiting.front().deadline || pool.waiting.size() > kMaxWaiting)) {
       uint64_t call = pool.waiting.front().call.id;
       pool.waiting.pop_front();
       done_(call, kNotSent, "");
--- a/src/runtime/mesh_link.cc
+++ b/src/runtime/mesh_link.cc
@@ -13,8 +13,8 @@
 constexpr Micros kRedial = 300 * kMilli;
 constexpr Micros kConnectTimeout = kSecond;
 constexpr Micros kStalled = 2 * kSecond;
-constexpr size_t kMostBuffered = 256 * 1024;
-constexpr size_t kMostIncoming = 32;
+constexpr size_t kMaxBuffered = 256 * 1024;
+constexpr size_t kMaxIncoming = 32;
 }  // namespace
 
 MeshLink::MeshLink(struct ev_loop* loop, std::string label, const std::vector<Sibling>& siblings,
@@ -52,7 +52,7 @@
   auto* self = static_cast<MeshLink*>(w->data);
   int fd = Accept(self->listener_);
   if (fd < 0) return;
-  if (self->incoming_.size() >= kMostIncoming) {
+  if (self->incoming_.size() >= kMaxIncoming) {
     close(fd);
     return;
   }
@@ -168,7 +168,7 @@
   if (it == outgoing_.end()) return;
   Outgoing& o = it->second;
   if (o.fd < 0) Connect(&o);
-  if (o.fd < 0 || o.out.size() > kMostBuffered) return;
+  if (o.fd < 0 || o.out.size() > kMaxBuffered) return;
   if (o.out.empty()) o.progress = SteadyNow();
   o.out.append(mesh::Encode(message));
   if (!o.connecting) Write(&o);
--- a/src/wire/user.cc
+++ b/src/wire/user.cc
@@ -8,10 +8,10 @@
 namespace troutlink::wire {
 namespace {
 
-constexpr double kMostAmount = 1e6;
-constexpr double kMostSeconds = 1e8;
-constexpr int kMostTasks = 100000;
-constexpr size_t kMostText = 200;
+constexpr double kMaxAmount = 1e6;
+constexpr double kMaxSeconds = 1e8;
+constexpr int kMaxTasks = 100000;
+constexpr size_t kMaxText = 200;
 
 // Required: present, a number, finite, within [0, most].
 bool ReadAmount(const Json& map, const char* key, double most, double* out, std::string* why) {
@@ -26,7 +26,7 @@
 
 bool ReadText(const Json& map, const char* key, std::string* out, std::string* why) {
   std::optional<std::string> v = Text(map, key);
-  if (!v || v->empty() || v->size() > kMostText) {
+  if (!v || v->empty() || v->size() > kMaxText) {
     *why = std::string(key) + " must be a text of 1 to 200 bytes";
     return false;
   }
@@ -64,13 +64,13 @@
   if (!ReadText(m, "name_id", &s.id, why) || !ReadText(m, "docket", &s.job_class, why) ||
       !ReadText(m, "owner", &s.team, why) || !ReadText(m, "form", &kind, why) ||
       !ReadText(m, "rank", &priority, why) || !ReadText(m, "bundle", &s.image, why) ||
-      !ReadAmount(m, "cpus", kMostAmount, &cpus, why) ||
-      !ReadAmount(m, "cards", kMostAmount, &gpus, why) ||
-      !ReadAmount(m, "memory_gb", kMostAmount, &memory, why) ||
-      !ReadAmount(m, "size_gb", kMostAmount, &gb, why) ||
-      !ReadAmount(m, "expect_s", kMostSeconds, &estimate, why) ||
-      !ReadAmount(m, "bookmark_s", kMostSeconds, &checkpoint, why) ||
-      !ReadAmount(m, "stash_s", kMostSeconds, &save, why) ||
+      !ReadAmount(m, "cpus", kMaxAmount, &cpus, why) ||
+      !ReadAmount(m, "cards", kMaxAmount, &gpus, why) ||
+      !ReadAmount(m, "memory_gb", kMaxAmount, &memory, why) ||
+      !ReadAmount(m, "size_gb", kMaxAmount, &gb, why) ||
+      !ReadAmount(m, "expect_s", kMaxSeconds, &estimate, why) ||
+      !ReadAmount(m, "bookmark_s", kMaxSeconds, &checkpoint, why) ||
+      !ReadAmount(m, "stash_s", kMaxSeconds, &save, why) ||
       !ReadFlag(m, "together", &s.one_zone, why) || !ReadFlag(m, "spread", &s.spread, why) ||
       !ReadFlag(m, "loaners", &s.spot, why)) {
     return std::nullopt;
@@ -102,7 +102,7 @@
     return std::nullopt;
   }
   std::optional<uint64_t> tasks = Count(m, "pieces");
-  if (!tasks || *tasks < 1 || *tasks > kMostTasks) {
+  if (!tasks || *tasks < 1 || *tasks > kMaxTasks) {
     *why = "pieces must be an integer from 1 to 100000";
     return std::nullopt;
   }
@@ -118,7 +118,7 @@
       return std::nullopt;
     }
     for (const Json& t : *types) {
-      if (!t.is_string() || t.get_ref<const std::string&>().size() > kMostText) {
+      if (!t.is_string() || t.get_ref<const std::string&>().size() > kMaxText) {
         *why = "builds must be a list of texts or null";
         return std::nullopt;
       }
@@ -130,7 +130,7 @@
   if (Find(m, "room") != nullptr && !ReadText(m, "room", &s.zone, why)) return std::nullopt;
   if (Find(m, "due_s") != nullptr) {
     double due = 0;
-    if (!ReadAmount(m, "due_s", kMostSeconds, &due, why)) return std::nullopt;
+    if (!ReadAmount(m, "due_s", kMaxSeconds, &due, why)) return std::nullopt;
     s.deadline = std::max<Micros>(1, FromSeconds(due));
   }
   return s;
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -153,7 +153,7 @@
   // The content is listed, the parts are claimed, and reports are answered: no
   // lease has ended and nothing starts again.
   const uint64_t starts = w.Sum(&Counters::starts);
-  for (int p = 0; p < 3; ++p) EXPECT_NE(w.OwnerOf(p), -1);
+  for (int p = 0; p < 3; ++p) EXPECT_NE(w.LeaderOf(p), -1);
   w.Run(10 * kSecond);
   EXPECT_EQ(w.Replicas(), kServices * kReplicas);
   EXPECT_LT(w.Sum(&Counters::starts) - starts, 700u);  // arrays go on
@@ -179,11 +179,11 @@
     if (still > 30 * kSecond) {
       // Its claim went to another one long ago: it owns nothing until it learns so.
       w.Run(2 * kSecond);
-      int owners = 0;
+      int leaders = 0;
       for (int p = 0; p < 3; ++p) {
-        for (size_t n = 0; n < 3; ++n) owners += w.core(n).Owns(p) ? 1 : 0;
+        for (size_t n = 0; n < 3; ++n) leaders += w.core(n).IsLeader(p) ? 1 : 0;
       }
-      EXPECT_EQ(owners, 3);
+      EXPECT_EQ(leaders, 3);
     }
     EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-100") == 0; },
                         std::max<Micros>(0, cancelled + w.settings.cancel - w.now)));
@@ -202,11 +202,12 @@
   w.cut_from_state.clear();
   w.cut_from_mesh.clear();
   w.cut_from_workers.clear();
-  EXPECT_TRUE(w.Until([&] { return w.OwnerOf(0) == 0; }, 40 * kSecond));
+  EXPECT_TRUE(w.Until([&] { return w.LeaderOf(0) == 0; }, 40 * kSecond));
   int up = 0;
   w.Run(8 * kSecond);
   for (int p = 0; p < 3; ++p) {
-    for (const auto& [name, m] : w.core(0).RosterOf(p).machines) up += m.attempts.empty() ? 0 : 1;
+    for (const auto& [name, m] : w.core(0).AssignmentsOf(p).machines)
+      up += m.attempts.empty() ? 0 : 1;
   }
   EXPECT_GT(up, 20);
   EXPECT_EQ(w.Replicas(), kServices * kReplicas);
@@ -248,9 +249,9 @@
   EXPECT_EQ(w.Replicas(), kServices * kReplicas);
   size_t chunks = 0;
   for (int p = 0; p < 3; ++p) {
-    chunks += static_cast<size_t>(w.core(0).RosterOf(p).chunks);
+    chunks += static_cast<size_t>(w.core(0).AssignmentsOf(p).chunks);
     // All of them and some jobs must fit the conditions of one transaction.
-    EXPECT_LT(w.core(0).RosterOf(p).chunks, 4 * w.settings.txn_ops / 3);
+    EXPECT_LT(w.core(0).AssignmentsOf(p).chunks, 4 * w.settings.txn_ops / 3);
   }
   // 4,400 tasks were started and 4,000 of them ended.
   // Seen: 650 puts, 200 commits, 630 rounds, 120 calls to the cloud, 5,400 to workers.
@@ -296,7 +297,7 @@
   w.Kill(1);
   w.Kill(2);
   w.Run(12 * kSecond);
-  for (int p = 0; p < 3; ++p) EXPECT_EQ(w.OwnerOf(p), 0);
+  for (int p = 0; p < 3; ++p) EXPECT_EQ(w.LeaderOf(p), 0);
   EXPECT_EQ(w.Replicas(), kServices * kReplicas);
   EXPECT_EQ(
       w.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(World::Service("job-900", 10)))
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -35,14 +35,14 @@
     EXPECT_TRUE(Until([&] { return OnMachines("job-5") == replicas; }, 30 * kSecond));
     Run(4 * kSecond);
     for (int p = 0; p < 3; ++p) {
-      for (const auto& [name, m] : core(0).RosterOf(p).machines) {
-        if (!m.attempts.empty()) part = p;
+      for (const auto& [name, m] : core(0).AssignmentsOf(p).machines) {
+        if (!m.attempts.empty()) shard_id = p;
       }
     }
-    EXPECT_GE(part, 0);
-    owner = static_cast<size_t>(OwnerOf(part));
-    second = (owner + 1) % 3;
-    third = (owner + 2) % 3;
+    EXPECT_GE(shard_id, 0);
+    leader = static_cast<size_t>(LeaderOf(shard_id));
+    second = (leader + 1) % 3;
+    third = (leader + 2) % 3;
   }
   void StateDown(Micros time) {
     state_down = true;
@@ -50,8 +50,8 @@
     state_down = false;
     state.Refresh(now);
   }
-  int part = -1;
-  size_t owner = 0, second = 1, third = 2;
+  int shard_id = -1;
+  size_t leader = 0, second = 1, third = 2;
 };
 
 // --- the gap ------------------------------------------------------------------
@@ -81,7 +81,7 @@
   Running w;
   if (g.third_blind) w.refused_by_state.insert(w.third);
   if (g.refused_before >= 0) {
-    w.refused_by_state.insert(w.owner);
+    w.refused_by_state.insert(w.leader);
     w.Run(g.refused_before);
   }
   size_t teller = w.second;
@@ -95,19 +95,19 @@
     w.Ask(w.third, "POST", target);
     w.Run(g.told == Told::kLate ? 1600 * kMilli : 30 * kMilli);
     w.lose = nullptr;
-    if (g.refused_before < 0) w.refused_by_state.insert(w.owner);
-    if (g.mesh_cut) w.cut_links = {{w.owner, w.second}, {w.owner, w.third}};
+    if (g.refused_before < 0) w.refused_by_state.insert(w.leader);
+    if (g.mesh_cut) w.cut_links = {{w.leader, w.second}, {w.leader, w.third}};
     w.DeliverHeld();
     EXPECT_TRUE(w.Until([&] { return Tells(w, teller, "job-5", "cancelled"); }, 3 * kSecond));
   } else {
-    if (g.mesh_cut) w.cut_links = {{w.owner, w.second}};
-    if (g.told == Told::kThroughOwner) teller = w.owner;
+    if (g.mesh_cut) w.cut_links = {{w.leader, w.second}};
+    if (g.told == Told::kThroughOwner) teller = w.leader;
     EXPECT_EQ(w.AskUntil(teller, "POST", target).body.value("status", ""), "cancelled");
   }
   const Micros told = w.now;
-  if (g.refused_before < 0) w.refused_by_state.insert(w.owner);
+  if (g.refused_before < 0) w.refused_by_state.insert(w.leader);
   if (g.teller_ends) {
-    const size_t ends = teller == w.owner ? w.second : teller;
+    const size_t ends = teller == w.leader ? w.second : teller;
     w.Kill(ends);
     w.Run(100 * kMilli);
     w.Start(ends);
@@ -126,7 +126,7 @@
   w.state.Refresh(w.now);
   w.Run(5 * kSecond);
   EXPECT_EQ(w.OnMachines("job-5"), 0);
-  EXPECT_EQ(Status(w, w.owner, "job-5"), "cancelled");
+  EXPECT_EQ(Status(w, w.leader, "job-5"), "cancelled");
   EXPECT_EQ(w.starts_after_cancel, 0);
   EXPECT_KEPT(w);
 }
@@ -157,7 +157,7 @@
   }
 }
 
-TEST(Meetings, TheGapWithGossipHeldUp) {
+TEST(Meetings, TheGapWithHeartbeatsHeldUp) {
   for (Told told : {Told::kByWhoCommitted, Told::kByAnother, Told::kLate, Told::kThroughOwner}) {
     for (Micros held : {3 * kSecond, 12 * kSecond, 25 * kSecond}) {
       for (bool ends : {false, true}) {
@@ -228,9 +228,9 @@
     x->dead = true;
     x->tasks.clear();
   }
-  w.Kill(w.owner);
+  w.Kill(w.leader);
   w.Run(500 * kMilli);
-  w.Start(w.owner);
+  w.Start(w.leader);
   EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-8") == 3; }, 60 * kSecond));
   EXPECT_TRUE(DoneWithin(w, "job-7", 90 * kSecond));
   EXPECT_TRUE(DoneWithin(w, "job-9", 90 * kSecond));
@@ -241,11 +241,11 @@
   Running w;
   const int starts = Starts(w);
   for (int i = 0; i < 10; ++i) {
-    const int owner = w.OwnerOf(w.part);
-    if (owner >= 0) w.Kill(static_cast<size_t>(owner));
+    const int leader = w.LeaderOf(w.shard_id);
+    if (leader >= 0) w.Kill(static_cast<size_t>(leader));
     if (i == 4) w.state_down = true;
     w.Run(i % 3 == 0 ? 200 * kMilli : 5 * kSecond);
-    if (owner >= 0) w.Start(static_cast<size_t>(owner));
+    if (leader >= 0) w.Start(static_cast<size_t>(leader));
     if (i == 5) {
       w.state_down = false;
       w.state.Refresh(w.now);
@@ -289,7 +289,7 @@
 TEST(Meetings, AHeldUpStartIsNotCarriedOutLongAfterTheCancellation) {
   for (Micros late : {5 * kSecond, 33 * kSecond, 40 * kSecond}) {
     Running w(2);
-    Accept(w, w.owner, World::Service("job-6", 1));  // keeps its machine in use
+    Accept(w, w.leader, World::Service("job-6", 1));  // keeps its machine in use
     ASSERT_TRUE(w.Until([&] { return w.OnMachines("job-6") == 1; }, 20 * kSecond));
     std::set<std::string> held;
     w.lose = [&](size_t node, const Call& call) {
@@ -300,16 +300,16 @@
     };
     Accept(w, w.second, World::Service("job-8", 3));
     ASSERT_TRUE(w.Until([&] { return !held.empty(); }, 20 * kSecond));
-    int owner = -1;
+    int leader = -1;
     for (int p = 0; p < 3; ++p) {
-      for (const auto& [name, m] : w.core(0).RosterOf(p).machines) {
-        if (held.count(m.addr) != 0) owner = w.OwnerOf(p);
+      for (const auto& [name, m] : w.core(0).AssignmentsOf(p).machines) {
+        if (held.count(m.addr) != 0) leader = w.LeaderOf(p);
       }
     }
-    ASSERT_GE(owner, 0);
+    ASSERT_GE(leader, 0);
     // Its commits are refused from here on, so no fence of its own gets through.
-    w.refused_by_state = {static_cast<size_t>(owner)};
-    EXPECT_EQ(w.AskUntil((static_cast<size_t>(owner) + 1) % 3, "POST", "/api/jobs/job-8/abort")
+    w.refused_by_state = {static_cast<size_t>(leader)};
+    EXPECT_EQ(w.AskUntil((static_cast<size_t>(leader) + 1) % 3, "POST", "/api/jobs/job-8/abort")
                   .body.value("status", ""),
               "cancelled");
     w.StateDown(w.settings.cancel + 12 * kSecond);
@@ -336,22 +336,22 @@
 
 TEST(Meetings, ACutOwnerStillReachedByUsersSaysNothingOlderThanTheNewOne) {
   Running w;
-  w.cut_from_state = {w.owner};
-  w.cut_from_mesh = {w.owner};
+  w.cut_from_state = {w.leader};
+  w.cut_from_mesh = {w.leader};
   w.Run(12 * kSecond);
-  ASSERT_NE(w.OwnerOf(w.part), static_cast<int>(w.owner));
+  ASSERT_NE(w.LeaderOf(w.shard_id), static_cast<int>(w.leader));
   EXPECT_EQ(w.AskUntil(w.second, "POST", "/api/jobs/job-5/abort").body.value("status", ""),
             "cancelled");
   for (int i = 0; i < 20; ++i) {
-    w.Ask(w.owner, "GET", "/api/jobs/job-5");
-    w.Ask(w.owner, "POST", "/api/jobs", wire::EncodeSubmission(World::Service("job-5", 4)));
+    w.Ask(w.leader, "GET", "/api/jobs/job-5");
+    w.Ask(w.leader, "POST", "/api/jobs", wire::EncodeSubmission(World::Service("job-5", 4)));
     w.Run(kSecond);
   }
   EXPECT_EQ(w.OnMachines("job-5"), 0);
   w.cut_from_state.clear();
   w.cut_from_mesh.clear();
   w.Run(5 * kSecond);
-  EXPECT_EQ(Status(w, w.owner, "job-5"), "cancelled");
+  EXPECT_EQ(Status(w, w.leader, "job-5"), "cancelled");
   EXPECT_KEPT(w);
 }
 
@@ -452,27 +452,27 @@
 }
 
 TEST(Meetings, AnOwnerEndsWhileMachinesAreCutOffOrDoNotHearTheNextOne) {
-  for (bool deaf : {false, true}) {
+  for (bool hears_few : {false, true}) {
     Running w(6);
     const int starts = Starts(w);
     FakeWorker* x = With(w, "job-5");
     ASSERT_NE(x, nullptr);
-    (deaf ? x->unhearing : x->silent) = true;
-    w.Kill(w.owner);
+    (hears_few ? x->unhearing : x->silent) = true;
+    w.Kill(w.leader);
     // Within the lease: it goes on as if nothing had been.
     w.Run(6 * kSecond);
-    (deaf ? x->unhearing : x->silent) = false;
+    (hears_few ? x->unhearing : x->silent) = false;
     w.Run(8 * kSecond);
-    EXPECT_EQ(w.OnMachines("job-5"), 6) << deaf;
-    EXPECT_EQ(Starts(w), starts) << deaf;
+    EXPECT_EQ(w.OnMachines("job-5"), 6) << hears_few;
+    EXPECT_EQ(Starts(w), starts) << hears_few;
     // Past it: its tasks run elsewhere, once they are proven gone.
-    (deaf ? x->unhearing : x->silent) = true;
-    w.Start(w.owner);
+    (hears_few ? x->unhearing : x->silent) = true;
+    w.Start(w.leader);
     w.Run(18 * kSecond);
-    w.Kill((w.owner + 1) % 3);
+    w.Kill((w.leader + 1) % 3);
     w.Run(25 * kSecond);
-    (deaf ? x->unhearing : x->silent) = false;
-    EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-5") == 6; }, 30 * kSecond)) << deaf;
+    (hears_few ? x->unhearing : x->silent) = false;
+    EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-5") == 6; }, 30 * kSecond)) << hears_few;
     EXPECT_KEPT(w);
   }
 }
@@ -507,11 +507,11 @@
   // The owner and its machines on one side; a job is cancelled on the other.
   Accept(w, w.second, World::Service("job-6", 2));
   ASSERT_TRUE(w.Until([&] { return w.OnMachines("job-6") == 2; }, 30 * kSecond));
-  for (const auto& [name, m] : w.core(w.second).RosterOf(w.part).machines) {
-    w.workers.at(name)->only_node = static_cast<int>(w.owner);
+  for (const auto& [name, m] : w.core(w.second).AssignmentsOf(w.shard_id).machines) {
+    w.workers.at(name)->only_node = static_cast<int>(w.leader);
   }
-  w.cut_from_state = {w.owner};
-  w.cut_from_mesh = {w.owner};
+  w.cut_from_state = {w.leader};
+  w.cut_from_mesh = {w.leader};
   w.Run(kSecond);
   EXPECT_EQ(w.AskUntil(w.second, "POST", "/api/jobs/job-6/abort").body.value("status", ""),
             "cancelled");
@@ -599,9 +599,9 @@
 TEST(Meetings, NodesHandOverAndBackAllEndAndOneReturnsAtOnce) {
   for (Micros back : {40 * kMilli, 300 * kMilli, 900 * kMilli}) {
     Running w;
-    w.Kill(w.owner);
+    w.Kill(w.leader);
     w.Run(6 * kSecond);  // handed over
-    w.Start(w.owner);
+    w.Start(w.leader);
     w.Run(w.settings.cancel / 2 + 2 * kSecond);  // and, about now, back
     for (size_t n = 0; n < 3; ++n) w.Kill(n);
     w.Run(back);
@@ -609,7 +609,7 @@
     w.Run(8 * kSecond);
     EXPECT_EQ(w.OnMachines("job-5"), 4);
     EXPECT_EQ(Status(w, w.second, "job-5"), "running");
-    w.Start(w.owner);
+    w.Start(w.leader);
     w.Run(back);
     w.Kill(w.second);
     w.Run(back);
@@ -639,7 +639,7 @@
     }
   };
   check();
-  w.refused_by_state = {w.owner};
+  w.refused_by_state = {w.leader};
   w.Run(3 * kSecond);
   check();
   w.state_down = true;
@@ -678,9 +678,9 @@
     };
     w.Ask(w.second, "POST", "/api/jobs/job-5/abort");
     ask(400 * kMilli);
-    w.refused_by_state = {w.owner};
+    w.refused_by_state = {w.leader};
     w.Ask(w.third, "POST", "/api/jobs/job-60/abort");
-    w.Ask(w.owner, "POST", "/api/jobs/job-61/abort");
+    w.Ask(w.leader, "POST", "/api/jobs/job-61/abort");
     ask(2 * kSecond);
     w.state_down = true;
     ask(w.settings.cancel + 6 * kSecond);
--- a/tests/stories_test.cc
+++ b/tests/stories_test.cc
@@ -18,7 +18,7 @@
 TEST(Stories, EachNodeClaimsItsOwnPart) {
   World w;
   w.Run(kReady);
-  for (int p = 0; p < 3; ++p) EXPECT_EQ(w.OwnerOf(p), p);
+  for (int p = 0; p < 3; ++p) EXPECT_EQ(w.LeaderOf(p), p);
 }
 
 TEST(Stories, AnArrayRunsAndStaysDone) {
@@ -92,7 +92,7 @@
   for (size_t i = 0; i < 3; ++i) {
     w.Kill(i);
     w.Run(8 * kSecond);
-    for (int p = 0; p < 3; ++p) EXPECT_GE(w.OwnerOf(p), 0);
+    for (int p = 0; p < 3; ++p) EXPECT_GE(w.LeaderOf(p), 0);
     w.Start(i);
     w.Run(3 * kSecond);
   }
@@ -109,7 +109,7 @@
   w.Kill(1);
   w.Start(1);
   w.Run(500 * kMilli);
-  EXPECT_EQ(w.OwnerOf(1), 1);
+  EXPECT_EQ(w.LeaderOf(1), 1);
 }
 
 TEST(Stories, AfterAllNodesEndedNothingAcceptedIsLost) {
@@ -140,7 +140,7 @@
                          wire::EncodeSubmission(World::Array("job-10" + std::to_string(i), 1)))
                   .status,
               201);
-    for (int p = 0; p < 3; ++p) EXPECT_NE(w.OwnerOf(p), static_cast<int>(i));
+    for (int p = 0; p < 3; ++p) EXPECT_NE(w.LeaderOf(p), static_cast<int>(i));
     w.cut_from_state.clear();
     w.Run(3 * kSecond);
   }
@@ -329,10 +329,10 @@
   ASSERT_TRUE(w.Until([&] { return w.OnMachines("job-5") == 4; }, 30 * kSecond));
   w.refused_by_state = {1};
   w.Run(15 * kSecond);
-  EXPECT_NE(w.OwnerOf(1), 1);
+  EXPECT_NE(w.LeaderOf(1), 1);
   EXPECT_EQ(Status(w, 1, "job-5"), "running");  // a sibling answers for it
   w.refused_by_state.clear();
-  EXPECT_TRUE(w.Until([&] { return w.OwnerOf(1) == 1; }, 40 * kSecond));
+  EXPECT_TRUE(w.Until([&] { return w.LeaderOf(1) == 1; }, 40 * kSecond));
   EXPECT_EQ(w.OnMachines("job-5"), 4);
   EXPECT_KEPT(w);
 }
@@ -499,7 +499,7 @@
     EXPECT_TRUE(w.Until([&] { return w.OnMachines(id) == 2; }, 30 * kSecond));
   }
   w.Run(45 * kSecond);  // longer than a cancel: the state service vouches instead
-  for (int p = 0; p < 3; ++p) EXPECT_EQ(w.OwnerOf(p), p);
+  for (int p = 0; p < 3; ++p) EXPECT_EQ(w.LeaderOf(p), p);
   for (size_t n = 0; n < 3; ++n) EXPECT_EQ(w.OnMachines("job-2" + std::to_string(n)), 2);
   EXPECT_KEPT(w);
 }
@@ -585,7 +585,7 @@
   deliver();
   w.Run(40 * kSecond);
   for (int p = 0; p < 3; ++p) {
-    EXPECT_EQ(w.core(0).RosterOf(p).machines.count(with->name), 0u);
+    EXPECT_EQ(w.core(0).AssignmentsOf(p).machines.count(with->name), 0u);
   }
   EXPECT_KEPT(w);
 }
@@ -595,12 +595,12 @@
   w.Run(kReady);
   w.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(World::Service("job-5", 6)));
   ASSERT_TRUE(w.Until([&] { return w.OnMachines("job-5") == 6; }, 30 * kSecond));
-  int part = -1;
+  int shard_id = -1;
   for (int p = 0; p < 3; ++p) {
-    if (!w.core(0).RosterOf(p).machines.empty()) part = p;
+    if (!w.core(0).AssignmentsOf(p).machines.empty()) shard_id = p;
   }
-  ASSERT_GE(part, 0);
-  const auto cut = static_cast<size_t>(w.OwnerOf(part));
+  ASSERT_GE(shard_id, 0);
+  const auto cut = static_cast<size_t>(w.LeaderOf(shard_id));
   int starts = 0;
   for (auto& [n, x] : w.workers) starts += x->starts;
   w.cut_from_state = {cut};
@@ -608,7 +608,7 @@
   w.Run(15 * kSecond);
   // Another one has its part, the workers follow the higher token, and nothing
   // had to start again.
-  EXPECT_NE(w.OwnerOf(part), static_cast<int>(cut));
+  EXPECT_NE(w.LeaderOf(shard_id), static_cast<int>(cut));
   EXPECT_EQ(w.OnMachines("job-5"), 6);
   // What a sibling accepts now is obeyed, though the cut node cannot know.
   const size_t other = (cut + 1) % 3;
@@ -801,14 +801,14 @@
     w.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(World::Array("job-5", 250)));
     ASSERT_TRUE(w.Until([&] { return w.OnMachines("job-5") == 250; }, 60 * kSecond));
     w.Run(3 * kSecond);
-    int part = -1;
+    int shard_id = -1;
     for (int p = 0; p < 3; ++p) {
-      for (const auto& [name, m] : w.core(0).RosterOf(p).machines) {
-        if (!m.attempts.empty()) part = p;
+      for (const auto& [name, m] : w.core(0).AssignmentsOf(p).machines) {
+        if (!m.attempts.empty()) shard_id = p;
       }
     }
-    ASSERT_GE(part, 0);
-    ASSERT_GT(w.core(0).RosterOf(part).chunks, 4);
+    ASSERT_GE(shard_id, 0);
+    ASSERT_GT(w.core(0).AssignmentsOf(shard_id).chunks, 4);
     // Machines lose what they run, as after a lease that ended, and say so.
     int n = 0;
     for (auto& [name, x] : w.workers) {
@@ -818,8 +818,8 @@
       x->lease_from = x->next_report = w.now;
     }
     w.Run(60 * kMilli + moment * 70 * kMilli);
-    const auto owner = static_cast<size_t>(w.OwnerOf(part));
-    w.Kill(owner);
+    const auto leader = static_cast<size_t>(w.LeaderOf(shard_id));
+    w.Kill(leader);
     w.Run(12 * kSecond);
     EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-5") == 250; }, 60 * kSecond)) << moment;
     ASSERT_TRUE(w.broken.empty()) << w.broken.front() << " at moment " << moment;
@@ -901,12 +901,12 @@
   w.capacity = 0;
   for (int i = 0; i < 9; ++i) w.AddWorker("small");
   w.Run(1500 * kMilli);
-  std::map<std::string, int> part_of;
+  std::map<std::string, int> shard_of;
   for (int p = 0; p < 3; ++p) {
-    for (const auto& [name, m] : w.core(0).RosterOf(p).machines) part_of[name] = p;
+    for (const auto& [name, m] : w.core(0).AssignmentsOf(p).machines) shard_of[name] = p;
   }
-  ASSERT_EQ(part_of.size(), 9u);
-  for (auto& [name, x] : w.workers) x->silent = part_of[name] != 0;
+  ASSERT_EQ(shard_of.size(), 9u);
+  for (auto& [name, x] : w.workers) x->silent = shard_of[name] != 0;
   w.Run(3800 * kMilli);
   for (int i = 0; i < 3; ++i) {
     JobSpec wide = World::Array("job-" + std::to_string(10 + i), 9);
@@ -915,8 +915,8 @@
   }
   w.Run(kSecond);
   for (int p = 0; p < 3; ++p) {
-    for (const auto& [name, m] : w.core(0).RosterOf(p).machines) {
-      EXPECT_TRUE(!w.workers[name]->silent || p == part_of[name]) << name;
+    for (const auto& [name, m] : w.core(0).AssignmentsOf(p).machines) {
+      EXPECT_TRUE(!w.workers[name]->silent || p == shard_of[name]) << name;
     }
   }
   EXPECT_KEPT(w);
@@ -929,7 +929,7 @@
   w.capacity = 0;
   for (int i = 0; i < 9; ++i) w.AddWorker("small");
   w.Run(kReady);
-  uint64_t takes = 0;
+  uint64_t acquired_machines = 0;
   for (int i = 0; i < 40; ++i) {
     const std::string id = "job-" + std::to_string(100 + i);
     for (auto& [n, x] : w.workers) x->run_time[id] = 2 * kSecond;
@@ -938,8 +938,8 @@
     w.Submit(static_cast<size_t>(i % 3), spec);
     w.Run((1 + i % 4) * 700 * kMilli);
   }
-  for (size_t n = 0; n < 3; ++n) takes += w.core(n).counters().takes;
-  EXPECT_GT(takes, 5u);
+  for (size_t n = 0; n < 3; ++n) acquired_machines += w.core(n).counters().acquired_machines;
+  EXPECT_GT(acquired_machines, 5u);
   for (const auto& [n, x] : w.workers) EXPECT_EQ(x->session, 1u) << n;
   EXPECT_KEPT(w);
 }
@@ -953,7 +953,7 @@
   for (auto& [n, x] : w.workers) x->lease_from = x->next_report = w.now + 2 * kSecond;
   w.Run(6 * kSecond);
   size_t adopted = 0;
-  for (int p = 0; p < 3; ++p) adopted += w.core(0).RosterOf(p).machines.size();
+  for (int p = 0; p < 3; ++p) adopted += w.core(0).AssignmentsOf(p).machines.size();
   EXPECT_EQ(adopted, 300u);
   int tasks = 0;
   for (int j = 0; j < 60; ++j) {
--- a/tests/units_test.cc
+++ b/tests/units_test.cc
@@ -52,32 +52,32 @@
 TEST(Health, TellsBadMachinesFromBadJobs) {
   Health machine(2, 3);
   machine.Failed(1, "m", "a");
-  EXPECT_FALSE(machine.Sick("m"));
+  EXPECT_FALSE(machine.Unhealthy("m"));
   machine.Failed(2, "m", "b");
-  EXPECT_TRUE(machine.Sick("m"));
+  EXPECT_TRUE(machine.Unhealthy("m"));
   Health job(2, 3);
   for (int i = 0; i < 6; ++i) job.Failed(kSecond * i, "m" + std::to_string(i % 3), "a");
-  for (int i = 0; i < 3; ++i) EXPECT_FALSE(job.Sick("m" + std::to_string(i)));
+  for (int i = 0; i < 3; ++i) EXPECT_FALSE(job.Unhealthy("m" + std::to_string(i)));
   EXPECT_GT(job.NextStart("a"), 5 * kSecond);
   EXPECT_EQ(job.NextStart("b"), 0);
   // Also once it is over.
   job.ForgetJob("a");
-  for (int i = 0; i < 3; ++i) EXPECT_FALSE(job.Sick("m" + std::to_string(i)));
+  for (int i = 0; i < 3; ++i) EXPECT_FALSE(job.Unhealthy("m" + std::to_string(i)));
   // One that was done elsewhere leaves its word behind.
   Health word(2, 3);
   for (int i = 0; i < 2; ++i) word.Failed(kSecond, "m", "a");
   word.Tried("n", "a");
   word.Succeeded("n", "a");
   word.ForgetJob("a");
-  EXPECT_TRUE(word.Sick("m"));
+  EXPECT_TRUE(word.Unhealthy("m"));
   // Alone on a machine a job says nothing of it, until it was tried elsewhere and well.
   Health alone(2, 3);
   for (int i = 0; i < 4; ++i) alone.Failed(kSecond * i, "m", "a");
-  EXPECT_FALSE(alone.Sick("m"));
+  EXPECT_FALSE(alone.Unhealthy("m"));
   alone.Tried("n", "a");
-  EXPECT_TRUE(alone.Sick("m"));
+  EXPECT_TRUE(alone.Unhealthy("m"));
   alone.Failed(5 * kSecond, "n", "a");
-  EXPECT_FALSE(alone.Sick("m"));
+  EXPECT_FALSE(alone.Unhealthy("m"));
 }
 
 PlaceMachine Machine(const std::string& name, const std::string& zone, bool spot) {
@@ -236,9 +236,9 @@
 }
 
 TEST(Records, ALargeRosterFitsFewValues) {
-  Roster r;
+  AssignmentTable r;
   for (int i = 0; i < 150; ++i) {
-    RosterMachine m;
+    AssignedMachine m;
     m.name = "n-000" + std::to_string(100 + i);
     m.addr = "10.1.0." + std::to_string(i) + ":9000";
     m.type = "large-type";
@@ -252,16 +252,16 @@
   EXPECT_LT(StoredSize(EncodeChunk(r, 0)), 16 * 1024);
   // Damage is noticed, not read.
   std::string bad = EncodeChunk(r, 0);
-  Roster back;
+  AssignmentTable back;
   EXPECT_FALSE(DecodeChunk(bad.substr(0, bad.size() / 2), 0, &back));
 }
 
 TEST(Records, SurviveTheirRoundTrip) {
-  Roster r;
+  AssignmentTable r;
   r.chunks = 3;
   r.next_number = 77;
   for (int i = 0; i < 20; ++i) {
-    RosterMachine m;
+    AssignedMachine m;
     m.name = "n-" + std::to_string(i);
     m.addr = "10.1.0.1:9000";
     m.type = "t";
@@ -271,10 +271,10 @@
     m.attempts = {{"job-1", i, 5}, {"job-2", 1, 6}};
     r.machines[m.name] = m;
   }
-  r.hires["h"] = {{"h", "t", "z", true, 4}, "job-1"};
+  r.rentals["h"] = {{"h", "t", "z", true, 4}, "job-1"};
   r.shares["team"] = {5, 6};
   r.helps["job-1"] = {0.25};
-  Roster back;
+  AssignmentTable back;
   for (int i = 0; i < 3; ++i) ASSERT_TRUE(DecodeChunk(EncodeChunk(r, i), i, &back));
   EXPECT_EQ(back, r);
   Progress p = {{"job-1", {0, 1, 2, 7, 9}}, {"job-2", {4}}};
@@ -344,7 +344,7 @@
   Damage(wire::EncodeReport(report), [](const std::string& s) { wire::DecodeReport(s); });
   mesh::Ping ping;
   ping.cancels = {"job-1", "job-22"};
-  ping.claims = {{1, 300, "node-1"}};
+  ping.epochs = {{1, 300, "node-1"}};
   std::string frame = mesh::Encode(ping);
   mesh::Framer framer;
   framer.Feed(frame);
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -846,9 +846,9 @@
   return n;
 }
 
-int World::OwnerOf(int part) const {
+int World::LeaderOf(int shard_id) const {
   for (size_t i = 0; i < nodes_.size(); ++i) {
-    if (nodes_[i].core != nullptr && nodes_[i].core->Owns(part)) return static_cast<int>(i);
+    if (nodes_[i].core != nullptr && nodes_[i].core->IsLeader(shard_id)) return static_cast<int>(i);
   }
   return -1;
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -114,7 +114,7 @@
   void Freeze(size_t node);
   void Thaw(size_t node);
   int OnMachines(const std::string& job) const;
-  int OwnerOf(int part) const;
+  int LeaderOf(int shard_id) const;
 
   static JobSpec Array(const std::string& id, int tasks);
   static JobSpec Service(const std::string& id, int tasks);
