--- a/src/core/core.h
+++ b/src/core/core.h
@@ -334,9 +334,10 @@
     std::vector<int> placed_list;
     int hint = 0;  // no waiting task before this one
     std::vector<Micros> durations;
-    std::set<int> moved;        // tasks that were moved to steady machines once
-    Micros unplaced_since = 0;  // waits without a machine since then
-    Micros move_at = 0;         // when it may look for another shard again
+    std::set<int> moved;             // tasks that were moved to steady machines once
+    Micros unplaced_since = 0;       // waits without a machine since then
+    Micros move_at = 0;              // when it may look for another shard again
+    std::map<int, int> preemptions;  // how often a task was stopped for other work
   };
   enum : uint8_t { kWaiting = 0, kPlaced = 1, kDone = 2 };
   JobRun* RunOf(const std::string& job);
@@ -345,6 +346,8 @@
   Micros RoundPace(const Shard& shard) const;
   void RunRounds(Micros now);
   struct Plan;
+  struct Preemptible;
+  struct PreemptibleTask;
   void Round(Micros now, int shard_id);
   void LogShardState(int shard_id, const Plan& plan);
   struct Offer {
@@ -352,6 +355,8 @@
     std::string zone;
   };
   void ChooseWindow(Shard* shard, Plan* plan) const;
+  int TasksWithinLimit(const Plan& plan, const Team& team, int shard_id, const JobSpec& spec,
+                       const Share& kept) const;
   static void Reserve(Plan* plan, const JobSpec& spec);
   static void Withdraw(Plan* plan, const JobSpec& spec, size_t begun);
   static std::string ShapeOf(const JobSpec& spec);
@@ -361,7 +366,11 @@
   void PlanTailHelp(Micros now, int shard_id, Plan* plan);
   void PlanPlacement(Micros now, int shard_id, Plan* plan);
   void PreemptTeam(Micros now, int shard_id, Plan* plan, const JobSpec& spec);
-  void FindPreemptible(Plan* plan);
+  void FindPreemptible(const Shard& shard, Plan* plan);
+  std::vector<size_t> ChooseStops(Micros now, const JobSpec& spec, const Preemptible& preemptible);
+  bool MayStopForArray(Micros now, const PreemptibleTask& task);
+  void StopForOther(Micros now, Plan* plan, Preemptible* preemptible, size_t index);
+  std::optional<Priority> LowestPlacedPriority(int shard_id) const;
   void PlanPreemption(Micros now, int shard_id, Plan* plan, const JobSpec& spec, int tasks);
   bool PlanAcquisition(Micros now, int shard_id, Plan* plan, const JobSpec& spec);
   bool PlanQuotaTransfer(Micros now, int shard_id, Plan* plan, const Team& team, const Share& want);
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -91,6 +91,7 @@
     const PlaceMachine& m = machines[i];
     if (!m.usable || (m.closed && !r.closed_too) || !spec.each.Fits(m.free)) continue;
     if (!m.helps.empty() && m.helps != spec.id) continue;
+    if (spec.priority < m.least_priority) continue;
     if (r.avoid != nullptr && *r.avoid == m.name) continue;
     if (!Allowed(spec, *r.spread, m)) continue;
     if (keeps_room && !m.spot &&
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -21,6 +21,8 @@
   bool spot = false;
   bool usable = false;  // heard from lately, not leaving, not set aside
   bool closed = false;  // this round cannot change it any more: the next one can
+  // Less important work stays away: room here is being made for work of this priority.
+  Priority least_priority = Priority::kLow;
   std::string helps;
   Amount size;
   Amount free;
--- a/src/core/placing.cc
+++ b/src/core/placing.cc
@@ -13,8 +13,9 @@
 namespace {
 constexpr Micros kWholePatience = 500 * kMilli;
 constexpr size_t kOtherConditions = 10;
-constexpr int kMaxPreemptions = 32;  // jobs that others make way for in one round
-constexpr int64_t kLendBelow = 10;   // steady cpus for each that is kept free
+constexpr Micros kArrayPatience = 2 * kSecond;  // before an array stops other work
+constexpr int kMaxPreemptions = 32;             // jobs that others make way for in one round
+constexpr int64_t kLendBelow = 10;              // steady cpus for each that is kept free
 }  // namespace
 
 // By the deadline, and by what the objectives expect of the class; earliest first.
@@ -169,7 +170,8 @@
   int64_t image_headroom =
       headroom > 0 ? static_cast<int64_t>(1000 * settings_.op.image_headroom_cpus()) : 0;
   if (!lend) image_headroom = std::max(image_headroom, std::min(largest / 2, headroom));
-  int preemptions = 0;
+  int preemptions = 0, array_preemptions = 0;
+  const std::optional<Priority> lowest = LowestPlacedPriority(shard_id);
   // Reserved machines stand partly idle: a few of them at a time.
   size_t reserved = 0;
   const size_t most_reserved = 1 + plan->machines.size() / 20;
@@ -227,6 +229,7 @@
         Share want{spec.each.cpus * left + kept.cpus, spec.each.gpus * left};
         if (!PlanQuotaTransfer(now, shard_id, plan, team, want) || !within()) {
           if (spec.priority == Priority::kProduction) PreemptTeam(now, shard_id, plan, spec);
+          plan->limited[spec.team] += left;
           break;
         }
       }
@@ -302,8 +305,15 @@
             "no room for " + spec.id + " (" + std::to_string(left) + " left)");
       }
       // Not for too many at once.
-      if (spec.priority == Priority::kProduction && ++preemptions <= kMaxPreemptions) {
-        PlanPreemption(now, shard_id, plan, spec, left);
+      if (spec.priority == Priority::kProduction) {
+        if (++preemptions <= kMaxPreemptions) PlanPreemption(now, shard_id, plan, spec, left);
+      } else if (lowest && spec.priority > *lowest && spec.kind == JobKind::kArray &&
+                 now - w.run->unplaced_since >= kArrayPatience &&
+                 ++array_preemptions <= kMaxPreemptions) {
+        const int within_limit = TasksWithinLimit(*plan, team, shard_id, spec, kept);
+        if (within_limit > 0) {
+          PlanPreemption(now, shard_id, plan, spec, std::min(left, within_limit));
+        }
       }
     }
   }
@@ -311,6 +321,22 @@
       started >= batch ? std::min(batch * 2, settings_.op.batch_most()) : settings_.op.batch();
 }
 
+// How many more tasks of a job its team's limit allows in this shard.
+int Core::TasksWithinLimit(const Plan& plan, const Team& team, int shard_id, const JobSpec& spec,
+                           const Share& kept) const {
+  const Share share = ShareOf(plan.assignments, team, shard_id, settings_.shard_count());
+  auto used = plan.use.teams.find(spec.team);
+  const Share in_use = used == plan.use.teams.end() ? Share() : used->second;
+  int64_t tasks = spec.tasks;
+  if (team.cpus_max > 0 && spec.each.cpus > 0) {
+    tasks = std::min(tasks, (share.cpus - kept.cpus - in_use.cpus) / spec.each.cpus);
+  }
+  if (team.gpus_max > 0 && spec.each.gpus > 0) {
+    tasks = std::min(tasks, (share.gpus - kept.gpus - in_use.gpus) / spec.each.gpus);
+  }
+  return static_cast<int>(std::max<int64_t>(0, tasks));
+}
+
 // For a job that has waited too long: its tasks need more room than what is left
 // wherever smaller ones keep filling up. The machine with most room takes nothing
 // else until one of them fits.
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -11,6 +11,19 @@
 
 namespace troutlink {
 
+// A task that may be stopped for more important work.
+struct Core::PreemptibleTask {
+  Attempt attempt;
+  AttemptInfo* info;
+  const JobSpec* spec;
+};
+
+// What may be stopped on one machine.
+struct Core::Preemptible {
+  Amount room;  // free, or about to be, and promised to nobody in this round
+  std::vector<PreemptibleTask> tasks;
+};
+
 struct Core::Plan {
   struct Unplaced {
     const JobSpec* spec = nullptr;
@@ -18,17 +31,6 @@
     bool tail = false;
   };
 
-  // Tasks of a machine that may have to make way.
-  struct Preemptible {
-    struct Task {
-      Attempt attempt;
-      AttemptInfo* info;
-      const JobSpec* spec;
-    };
-    Amount room;  // free, or about to be, and promised to nobody in this round
-    std::vector<Task> tasks;
-  };
-
   AssignmentTable assignments;            // the shard's own, as it is to become
   std::map<int, AssignmentTable> others;  // those of other shards that change with it
   std::vector<PlaceMachine> machines;
@@ -51,7 +53,8 @@
   std::vector<std::string> rentals;
   std::set<std::string> service_images;  // of all services that run
   std::vector<Unplaced> unplaced;
-  std::map<std::string, int> moved;  // jobs that go to another shard
+  std::map<std::string, int> limited;  // tasks that a team's limit holds back, by team
+  std::map<std::string, int> moved;    // jobs that go to another shard
   bool preemptible_known = false;
   std::map<std::string, Preemptible> preemptible;  // by machine
   int preempted = 0;                               // tasks that were told to make way
--- a/src/core/preemption.cc
+++ b/src/core/preemption.cc
@@ -7,7 +7,28 @@
 namespace troutlink {
 
 namespace {
-constexpr int kMaxPreempted = 64;  // tasks that do
+constexpr int kMaxPreempted = 64;  // tasks that one round stops
+constexpr int64_t kMaxTasksThatFit = 1 << 20;
+constexpr Micros kFetchCost = 20 * kSecond;  // of a machine without the image
+// A task that was stopped so often for other arrays is left alone, or it would never end.
+constexpr int kMaxPreemptionsOfTask = 2;
+constexpr Micros kNearEnd = 10 * kSecond;
+
+// How many more tasks of a shape fit into this room.
+int TasksThatFit(const JobSpec& spec, const Amount& room) {
+  int64_t tasks = kMaxTasksThatFit;
+  if (spec.each.cpus > 0) tasks = std::min(tasks, room.cpus / spec.each.cpus);
+  if (spec.each.gpus > 0) tasks = std::min(tasks, room.gpus / spec.each.gpus);
+  if (spec.each.memory > 0) tasks = std::min(tasks, room.memory / spec.each.memory);
+  return static_cast<int>(std::max<int64_t>(0, tasks));
+}
+
+// What stopping a task now costs: the work that it repeats, or the time to save it.
+Micros StoppingCost(Micros now, Micros running_at, const JobSpec& spec) {
+  if (running_at == 0) return 0;
+  return spec.checkpoint > 0 ? spec.save : now - running_at;
+}
+
 }  // namespace
 
 // A critical job is held up by its own team's limit: a less important task of
@@ -39,88 +60,153 @@
 }
 
 // What may be stopped on each machine, looked up once a round.
-void Core::FindPreemptible(Plan* plan) {
+void Core::FindPreemptible(const Shard& shard, Plan* plan) {
   plan->preemptible_known = true;
-  for (const PlaceMachine& m : plan->machines) {
-    auto assignments = plan->assignments.machines.find(m.name);
-    if (!m.usable || !m.helps.empty() || assignments == plan->assignments.machines.end()) continue;
-    if (m.preemptible.cpus <= 0 && m.preemptible.memory <= 0 && m.preemptible.gpus <= 0) continue;
-    Plan::Preemptible& preemptible = plan->preemptible[m.name];
-    preemptible.room = m.free;
-    for (const Attempt& a : assignments->second.attempts) {
-      auto at = attempts_.find(a);
-      const JobEntry* job = FindJob(a.job);
-      if (at == attempts_.end() || job == nullptr) continue;
-      if (at->second.stopping) {
-        preemptible.room += job->record.spec.each;  // about to be free
-      } else if (at->second.seen) {
-        preemptible.tasks.push_back({a, &at->second, &job->record.spec});
+  std::map<std::string, const PlaceMachine*> places;
+  for (const PlaceMachine& machine : plan->machines) places[machine.name] = &machine;
+  for (const MachineUse& use : shard.machine_use) {
+    auto place = places.find(use.machine->name);
+    if (place == places.end() || !place->second->usable || !place->second->helps.empty()) continue;
+    if (place->second->preemptible == Amount()) continue;
+    Preemptible& preemptible = plan->preemptible[use.machine->name];
+    preemptible.room = place->second->free;
+    for (size_t i = 0; i < use.slots.size(); ++i) {
+      const MachineUse::Slot& slot = use.slots[i];
+      if (slot.info == nullptr || slot.job == nullptr || slot.info->gone) continue;
+      const JobSpec& spec = slot.job->record.spec;
+      if (slot.info->stopping) {
+        preemptible.room += spec.each;  // about to be free
+      } else if (slot.info->seen) {
+        preemptible.tasks.push_back({use.machine->attempts[i], slot.info, &spec});
       }
     }
   }
 }
 
-// Makes room for `tasks` of critical work by stopping the least important work that
-// is in its way, on as many machines as it takes: after a zone was lost hundreds of
-// replicas wait, and one machine at a time took half a minute. What is being stopped
-// already counts as room to come.
+// The least important array work that runs in a shard.
+std::optional<Priority> Core::LowestPlacedPriority(int shard_id) const {
+  std::optional<Priority> lowest;
+  for (const auto& [id, run] : runs_) {
+    if (run.shard_id != shard_id || run.placed == 0) continue;
+    const JobEntry* job = FindJob(id);
+    if (job == nullptr || job->record.spec.kind != JobKind::kArray) continue;
+    if (!lowest || job->record.spec.priority < *lowest) lowest = job->record.spec.priority;
+  }
+  return lowest;
+}
+
+// Whether a task may make way for an array. Arrays can wait, so unlike critical work they
+// stop only other arrays' tasks that lose little, are not about to end, and were not stopped
+// too often already: those make progress in the end.
+bool Core::MayStopForArray(Micros now, const PreemptibleTask& task) {
+  const JobSpec& spec = *task.spec;
+  if (spec.kind != JobKind::kArray) return false;
+  const JobRun* run = RunOf(spec.id);
+  if (run == nullptr) return false;
+  auto stopped = run->preemptions.find(task.attempt.task);
+  if (stopped != run->preemptions.end() && stopped->second >= kMaxPreemptionsOfTask) return false;
+  if (task.info->running_at == 0) return true;
+  const Micros ran = now - task.info->running_at;
+  const Micros left = spec.estimate - ran;
+  if (left < std::max(kNearEnd, spec.estimate / 4)) return false;
+  return spec.checkpoint > 0 || ran < spec.estimate / 4;
+}
+
+// The tasks to stop on one machine so that one more task of `spec` fits; empty when that
+// cannot be had.
+std::vector<size_t> Core::ChooseStops(Micros now, const JobSpec& spec,
+                                      const Preemptible& preemptible) {
+  const bool sparing = spec.priority < Priority::kProduction;
+  std::vector<size_t> candidates;
+  for (size_t i = 0; i < preemptible.tasks.size(); ++i) {
+    const PreemptibleTask& task = preemptible.tasks[i];
+    if (task.info->stopping || task.spec->priority >= spec.priority) continue;
+    if (sparing && !MayStopForArray(now, task)) continue;
+    candidates.push_back(i);
+  }
+  if (sparing) {
+    auto cost = [&](size_t i) {
+      const PreemptibleTask& task = preemptible.tasks[i];
+      return StoppingCost(now, task.info->running_at, *task.spec);
+    };
+    std::stable_sort(candidates.begin(), candidates.end(),
+                     [&](size_t a, size_t b) { return cost(a) < cost(b); });
+  }
+  Amount room = preemptible.room;
+  std::vector<size_t> stops;
+  for (size_t i : candidates) {
+    if (spec.each.Fits(room)) break;
+    room += preemptible.tasks[i].spec->each;
+    stops.push_back(i);
+  }
+  if (!spec.each.Fits(room)) stops.clear();
+  return stops;
+}
+
+// Makes room for `tasks` of a job by stopping the least important work that is in its way,
+// on as many machines as it takes: after a zone was lost hundreds of replicas wait, and one
+// machine at a time took half a minute. What is being stopped already counts as room to
+// come, and is kept from work that is less important.
 void Core::PlanPreemption(Micros now, int shard_id, Plan* plan, const JobSpec& spec, int tasks) {
-  if (!plan->preemptible_known) FindPreemptible(plan);
-  JobSpread& spread = plan->SpreadOf(spec);
-  auto fits = [&spec](const Amount& room) {
-    int64_t n = 1 << 20;
-    if (spec.each.cpus > 0) n = std::min(n, room.cpus / spec.each.cpus);
-    if (spec.each.gpus > 0) n = std::min(n, room.gpus / spec.each.gpus);
-    if (spec.each.memory > 0) n = std::min(n, room.memory / spec.each.memory);
-    return static_cast<int>(std::max<int64_t>(0, n));
-  };
-  auto promise = [&](Plan::Preemptible* preemptible) {
-    for (int n = std::min(tasks, fits(preemptible->room)); n > 0; --n, --tasks) {
-      preemptible->room -= spec.each;
-    }
-  };
+  if (!plan->preemptible_known) {
+    FindPreemptible(shards_[static_cast<size_t>(shard_id)], plan);
+  }
   struct Choice {
-    Plan::Preemptible* preemptible;
-    const std::string* machine;
+    Preemptible* preemptible;
+    PlaceMachine* machine;
     std::vector<size_t> stops;
-    int64_t cost;
+    Micros cost;
+  };
+  const bool critical = spec.priority == Priority::kProduction;
+  JobSpread& spread = plan->SpreadOf(spec);
+  auto promise = [&](Preemptible* preemptible, PlaceMachine* machine) {
+    const int promised = std::min(tasks, TasksThatFit(spec, preemptible->room));
+    for (int i = 0; i < promised; ++i) preemptible->room -= spec.each;
+    tasks -= promised;
+    if (promised > 0) machine->least_priority = std::max(machine->least_priority, spec.priority);
   };
   std::vector<Choice> choices;
-  for (const PlaceMachine& m : plan->machines) {
-    auto found = plan->preemptible.find(m.name);
-    if (found == plan->preemptible.end() || !m.usable || !Allowed(spec, spread, m)) continue;
-    Plan::Preemptible& preemptible = found->second;
-    promise(&preemptible);
+  for (PlaceMachine& machine : plan->machines) {
+    auto found = plan->preemptible.find(machine.name);
+    if (found == plan->preemptible.end() || !machine.usable) continue;
+    if (!Allowed(spec, spread, machine)) continue;
+    Preemptible& preemptible = found->second;
+    promise(&preemptible, &machine);
     if (tasks <= 0) return;
-    Choice choice{&preemptible, &m.name, {}, 0};
+    Choice choice{&preemptible, &machine, ChooseStops(now, spec, preemptible), 0};
+    if (choice.stops.empty()) continue;
     Amount room = preemptible.room;
-    for (size_t i = 0; i < preemptible.tasks.size() && !spec.each.Fits(room); ++i) {
-      const Plan::Preemptible::Task& t = preemptible.tasks[i];
-      if (t.info->stopping || t.spec->priority >= spec.priority) continue;
-      room += t.spec->each;
-      choice.cost += t.info->running_at == 0 ? 0 : now - t.info->running_at;
-      choice.stops.push_back(i);
+    for (size_t i : choice.stops) {
+      const PreemptibleTask& task = preemptible.tasks[i];
+      room += task.spec->each;
+      choice.cost += critical && task.info->running_at != 0
+                         ? now - task.info->running_at
+                         : StoppingCost(now, task.info->running_at, *task.spec);
     }
-    if (!spec.each.Fits(room)) continue;
-    if (!m.Has(spec.image)) choice.cost += 20 * kSecond;
-    choice.cost /= std::clamp(fits(room), 1, tasks);
+    if (!machine.Has(spec.image)) choice.cost += kFetchCost;
+    choice.cost /= std::clamp(TasksThatFit(spec, room), 1, tasks);
     choices.push_back(std::move(choice));
   }
   std::sort(choices.begin(), choices.end(), [](const Choice& a, const Choice& b) {
-    return a.cost != b.cost ? a.cost < b.cost : *a.machine < *b.machine;
+    return a.cost != b.cost ? a.cost < b.cost : a.machine->name < b.machine->name;
   });
-  for (const Choice& c : choices) {
+  for (const Choice& choice : choices) {
     if (tasks <= 0 || plan->preempted >= kMaxPreempted) return;
-    for (size_t i : c.stops) {
-      const Plan::Preemptible::Task& t = c.preemptible->tasks[i];
-      c.preemptible->room += t.spec->each;
-      ++counters_.preempted;
-      ++plan->preempted;
-      StopAttempt(now, t.attempt, t.info, t.spec->checkpoint > 0 ? t.spec->save + kSecond : 0);
-    }
-    promise(c.preemptible);
-    Push(now, shard_id, *c.machine);
+    for (size_t i : choice.stops) StopForOther(now, plan, choice.preemptible, i);
+    promise(choice.preemptible, choice.machine);
+    Push(now, shard_id, choice.machine->name);
   }
 }
 
+// Stops one task whose room is wanted by more important work.
+void Core::StopForOther(Micros now, Plan* plan, Preemptible* preemptible, size_t index) {
+  const PreemptibleTask& task = preemptible->tasks[index];
+  preemptible->room += task.spec->each;
+  ++counters_.preempted;
+  ++plan->preempted;
+  if (JobRun* run = RunOf(task.spec->id)) ++run->preemptions[task.attempt.task];
+  StopAttempt(now, task.attempt, task.info,
+              task.spec->checkpoint > 0 ? task.spec->save + kSecond : 0);
+}
+
 }  // namespace troutlink
--- a/src/core/rounds.cc
+++ b/src/core/rounds.cc
@@ -4,6 +4,7 @@
 
 #include "core/core.h"
 #include "core/plan.h"
+#include "core/quota.h"
 
 namespace troutlink {
 
@@ -333,6 +334,17 @@
           " cpus, " + std::to_string(plan.assignments.rentals.size()) + " rentals, " +
           std::to_string(write_budget_.have()) + " writes, " +
           std::to_string(cloud_budget_.have()) + " calls left");
+  for (const auto& [team_name, tasks] : plan.limited) {
+    const Team* team = FindTeam(team_name);
+    auto used = plan.use.teams.find(team_name);
+    if (team == nullptr || used == plan.use.teams.end()) continue;
+    const Share share = ShareOf(plan.assignments, *team, shard_id, settings_.shard_count());
+    Log(LogLine::Level::kDebug, "limit of " + team_name + " holds back " + std::to_string(tasks) +
+                                    " tasks in shard " + std::to_string(shard_id) + ": " +
+                                    std::to_string(used->second.cpus / 1000) + " of " +
+                                    std::to_string(share.cpus / 1000) + " cpus here, " +
+                                    std::to_string(team->cpus_max / 1000) + " in all");
+  }
   // Of this process, since its start: what is added up over a day comes from the log, as
   // counters end with their process.
   const Counters& c = counters_;
