--- a/src/core/core.h
+++ b/src/core/core.h
@@ -362,6 +362,7 @@
   static std::string ShapeOf(const JobSpec& spec);
   void FindAcquirable(Micros now, int shard_id, Plan* plan);
   bool KnowsItsMachines(Micros now, int shard_id) const;
+  bool IdleTimeWork(const JobSpec& spec) const;
   void PlanRentals(Micros now, int shard_id, Plan* plan);
   void PlanTailHelp(Micros now, int shard_id, Plan* plan);
   void PlanPlacement(Micros now, int shard_id, Plan* plan);
--- a/src/core/fleet.cc
+++ b/src/core/fleet.cc
@@ -106,6 +106,15 @@
   return unknown * 10 <= up;
 }
 
+// Work that nobody waits for by a certain time: it has what is left, and is worth no machine
+// at the full price.
+bool Core::IdleTimeWork(const JobSpec& spec) const {
+  if (spec.priority != Priority::kLow || spec.deadline > 0) return false;
+  return std::none_of(
+      settings_.objectives.begin(), settings_.objectives.end(),
+      [&spec](const Objective& objective) { return objective.job_class == spec.job_class; });
+}
+
 void Core::PlanRentals(Micros now, int shard_id, Plan* plan) {
   if (plan->assignments.rentals.size() >= kMaxRentals || !KnowsItsMachines(now, shard_id)) return;
   // Room that is on its way: machines that boot, and rentals under way.
@@ -192,6 +201,7 @@
     if (left <= 0) continue;
     Offer offer;
     bool spot = spec.spot && !u.tail && PickOffer(now, spec, spread, true, in_zone, &offer);
+    if (!spot && spec.spot && IdleTimeWork(spec)) continue;
     if (!spot && !PickOffer(now, spec, spread, false, in_zone, &offer)) continue;
     if (!spot && spec.spot && spec.kind == JobKind::kArray && !u.tail) {
       // Steady machines cost several times as much: only for what would be late
--- a/src/core/placing.cc
+++ b/src/core/placing.cc
@@ -13,9 +13,11 @@
 namespace {
 constexpr Micros kWholePatience = 500 * kMilli;
 constexpr size_t kOtherConditions = 10;
-constexpr Micros kArrayPatience = 2 * kSecond;  // before an array stops other work
-constexpr int kMaxPreemptions = 32;             // jobs that others make way for in one round
-constexpr int64_t kLendBelow = 10;              // steady cpus for each that is kept free
+constexpr Micros kArrayPatience = 2 * kSecond;       // before an array stops other work
+constexpr Micros kGuaranteePatience = 300 * kMilli;  // the same within its team's guarantee
+constexpr Priority kAgedRank = Priority::kHigh;
+constexpr int kMaxPreemptions = 32;  // jobs that others make way for in one round
+constexpr int64_t kLendBelow = 10;   // steady cpus for each that is kept free
 }  // namespace
 
 // By the deadline, and by what the objectives expect of the class; earliest first.
@@ -47,7 +49,8 @@
     const JobSpec* spec;
     JobRun* run;
     int tasks;
-    bool within;
+    Priority rank;               // its place in the order; its priority, or higher once aged
+    bool within;                 // its team's guarantee
     bool aged;                   // has waited too long without a start
     std::vector<Micros> limits;  // latest starts, one for each aim
     size_t tier;                 // the first of them that can be kept
@@ -87,13 +90,19 @@
     const Micros starve = FromSeconds(settings_.op.starve_s());
     const bool aged =
         run.done + run.placed == 0 && starve > 0 && WallNow(now) - job->record.submitted > starve;
+    // Where more important work leaves no room at all, one task of it starts in its place.
+    Priority rank = spec.priority;
+    if (aged && spec.kind == JobKind::kArray && spec.priority < kAgedRank) {
+      rank = kAgedRank;
+      left = 1;
+    }
     std::vector<Micros> limits = LatestStarts(job->record);
     size_t tier = 0;
     while (spec.kind != JobKind::kService && tier < limits.size() && limits[tier] < WallNow(now)) {
       ++tier;
     }
     double work = static_cast<double>(left * spec.each.cpus) / 1000 * ToSeconds(spec.estimate);
-    waiting.push_back({&spec, &run, left, within, aged, std::move(limits), tier, work,
+    waiting.push_back({&spec, &run, left, rank, within, aged, std::move(limits), tier, work,
                        job->record.submitted, job->record.moves});
   }
   // The recent peak fades within a minute, and to nothing: a share of it that
@@ -112,7 +121,7 @@
     capacity += static_cast<double>(std::max<int64_t>(0, m.free.cpus) + m.preemptible.cpus) / 1000;
   }
   auto group = [](const Waiting& w) {
-    return std::make_tuple(-static_cast<int>(w.spec->priority), !w.within, !w.aged);
+    return std::make_tuple(-static_cast<int>(w.rank), !w.within, !w.aged);
   };
   auto before = [&group](const Waiting& a, const Waiting& b) {
     if (auto x = group(a), y = group(b); x != y) return x < y;
@@ -308,7 +317,7 @@
       if (spec.priority == Priority::kProduction) {
         if (++preemptions <= kMaxPreemptions) PlanPreemption(now, shard_id, plan, spec, left);
       } else if (lowest && spec.priority > *lowest && spec.kind == JobKind::kArray &&
-                 now - w.run->unplaced_since >= kArrayPatience &&
+                 now - w.run->unplaced_since >= (w.within ? kGuaranteePatience : kArrayPatience) &&
                  ++array_preemptions <= kMaxPreemptions) {
         const int within_limit = TasksWithinLimit(*plan, team, shard_id, spec, kept);
         if (within_limit > 0) {
--- a/tests/array_preemption_test.cc
+++ b/tests/array_preemption_test.cc
@@ -97,5 +97,41 @@
   EXPECT_KEPT(w);
 }
 
+// Where urgent work takes all room for good, idle-time work still begins in time.
+TEST(ArrayPreemption, IdleTimeWorkBeginsBesideUrgentWorkWithoutEnd) {
+  JobSpec filler = Urgent("job-1", kMachines * 4);
+  FullFleet w(filler, 6 * kSecond);
+  int next = 10;
+  auto flood = [&] {
+    for (int i = 0; i < 3; ++i) {
+      const std::string id = "job-" + std::to_string(next++);
+      w.SetRunTime(id, 6 * kSecond);
+      w.Submit(static_cast<size_t>(next % 3), Urgent(id, 4));
+    }
+    w.Run(5 * kSecond);
+  };
+  for (int i = 0; i < 4; ++i) flood();
+  w.SetRunTime("job-2", 20 * kSecond);
+  w.AskUntil(1, "POST", "/api/jobs", wire::EncodeSubmission(Survey("job-2", 40)));
+  const Micros submitted = w.now;
+  while (w.OnMachines("job-2") == 0 && w.now < submitted + 300 * kSecond) flood();
+  EXPECT_LT(w.now - submitted, 240 * kSecond);
+  EXPECT_KEPT(w);
+}
+
+// Only what is waited for is worth machines at the full price.
+TEST(ArrayPreemption, IdleTimeWorkRentsNoSteadyMachines) {
+  World w;
+  w.capacity = 0;
+  w.Run(kReady);
+  w.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(Survey("job-1", 40)));
+  w.Run(5 * kSecond);
+  w.capacity = 100;
+  w.Run(120 * kSecond);
+  for (const auto& [name, worker] : w.workers) EXPECT_TRUE(worker->spot) << name;
+  EXPECT_GT(w.OnMachines("job-1"), 0);
+  EXPECT_KEPT(w);
+}
+
 }  // namespace
 }  // namespace troutlink::test
