--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -19,6 +19,7 @@
       started_(now),
       wall_offset_(wall - now),
       shards_(static_cast<size_t>(settings.shard_count())),
+      cancellations_(settings.cancel, settings.lease),
       health_(static_cast<int>(settings.op.machine_failures()),
               static_cast<int>(settings.op.job_failures())),
       write_budget_(settings.write_rps * kShareOfLimits / settings.shard_count(),
@@ -33,7 +34,10 @@
   next_foreign_ = (uint64_t{1} << 62) | base;
   next_relay_ = base;
   ping_seq_ = base;
-  for (const Sibling& sibling : settings_.siblings) peers_[sibling.label].label = sibling.label;
+  for (const Sibling& sibling : settings_.siblings) {
+    peers_[sibling.label].label = sibling.label;
+    cancellations_.AddPeer(sibling.label);
+  }
 }
 
 uint64_t Core::Send(Dest dest, std::string addr, std::string method, std::string target,
@@ -182,18 +186,8 @@
     pong.seq = ping->seq;
     out_.peers.push_back({from, std::move(pong)});
   } else if (const auto* pong = std::get_if<mesh::Pong>(&message)) {
-    Peer& peer_state = peer->second;
-    auto sent = peer_state.pings.find(pong->seq);
     HandleHeartbeat(now, from, *pong);
-    if (sent != peer_state.pings.end()) {
-      // It answers for all that its sender, also the process before, can have told until
-      // then: nothing is told that is not stored, and it has read the store and left nothing
-      // out that our replica lacks.
-      if (pong->seen != 0 && pong->cancels_from <= sent->second.seen) {
-        peer_state.cancels_known_at = std::max(peer_state.cancels_known_at, sent->second.at);
-      }
-      peer_state.pings.erase(peer_state.pings.begin(), std::next(sent));
-    }
+    cancellations_.PongReceived(from, *pong);
   } else if (const auto* relay = std::get_if<mesh::Relay>(&message)) {
     OnReport(now, 0, from, relay->id, relay->body);
   } else if (const auto* reply = std::get_if<mesh::RelayReply>(&message)) {
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -15,6 +15,7 @@
 
 #include "config/settings.h"
 #include "core/budget.h"
+#include "core/cancellations.h"
 #include "core/health.h"
 #include "core/io.h"
 #include "core/placement.h"
@@ -166,9 +167,6 @@
   void LoseLeadership(Micros now, int shard_id, const char* why);
   void HandBack(Micros now, int shard_id);
   std::string LeaderLabel(int shard_id) const;
-  // Until when reports may be answered: no peer can have accepted a cancel
-  // early enough for its tasks to outlive `cancel` because of us.
-  bool MayRenew(Micros now) const;
   bool StateFresh(Micros now) const { return now - state_ok_ < 1500 * kMilli; }
   bool Up(Micros now) const;
 
@@ -439,8 +437,7 @@
   bool watching_ = false;
   Micros watched_at_ = 0;  // last answer of a watch, or of a whole list
   Micros watch_retry_ = 0;
-  Micros replica_time_ = 0;  // the replica holds every change made before this time
-  Micros state_ok_ = 0;      // last answer of the state service
+  Micros state_ok_ = 0;  // last answer of the state service
   std::unordered_map<std::string, JobEntry> jobs_;
   std::set<std::string> open_jobs_;
   Waits waits_;
@@ -459,15 +456,9 @@
   Micros lease_retry_ = 0;
   struct Peer {
     std::string label;
-    Micros heard = 0;             // last message
-    Micros cancels_known_at = 0;  // all cancels that it knew then are known to us
-    uint64_t seen = 0;            // its replica holds all up to this revision
-    Micros state_age = 0;         // at `heard`
-    struct Sent {
-      Micros at = 0;
-      uint64_t seen = 0;  // of ours, as the ping told it
-    };
-    std::map<uint64_t, Sent> pings;         // in flight
+    Micros heard = 0;                       // last message
+    uint64_t seen = 0;                      // its replica holds all up to this revision
+    Micros state_age = 0;                   // at `heard`
     std::set<uint64_t> holds;               // shards that it says are its own
     std::set<std::string> silent_machines;  // machines that it missed when it last spoke
   };
@@ -476,9 +467,7 @@
   uint64_t ping_seq_;
   Micros next_heartbeat_ = 0;
   Micros next_cached_images_ = 0;
-  std::map<uint64_t, std::string> cancelled_;  // of the replica, by revision; the newest ones
-  uint64_t cancelled_from_ = 0;                // all of the replica's above this revision
-  std::set<std::string> reported_cancels_;     // from peers, perhaps before the replica
+  CancellationLog cancellations_;
 
   // Acceptance.
   std::map<uint64_t, OpenRequest> open_;
--- a/src/core/leadership.cc
+++ b/src/core/leadership.cc
@@ -11,9 +11,7 @@
 constexpr size_t kMaxCachedImages = 1000;    // machines in one message
 constexpr size_t kMaxSilentMachines = 2000;  // the same: a whole fleet may fall silent
 constexpr Micros kStateTimeout = 1500 * kMilli;
-constexpr Micros kRenewMargin = 1500 * kMilli;
 constexpr Micros kHeardSlack = 3 * kSecond;
-constexpr size_t kMaxCancels = 4000;  // in one message, beside those of the replica
 }  // namespace
 
 mesh::Heartbeat Core::MakeHeartbeat(Micros now, bool cached_images, uint64_t seen) const {
@@ -47,18 +45,7 @@
         g.cached_images.push_back(std::move(has));
     }
   }
-  // Whatever we may tell a user, whoever committed it. Only what a node had committed
-  // itself used to be told: a cancel whose answer was lost, or that was carried out late,
-  // reached users through another node's replica and never a peer without the state
-  // service, and its tasks lived on.
-  for (auto it = cancelled_.upper_bound(seen); it != cancelled_.end(); ++it) {
-    g.cancels.push_back(it->second);
-  }
-  for (const std::string& id : reported_cancels_) {
-    if (g.cancels.size() >= kMaxCancels) break;
-    g.cancels.push_back(id);
-  }
-  g.cancels_from = cancelled_from_;
+  cancellations_.FillHeartbeat(seen, &g);
   g.seen = replica_revision_;
   const Shard& own = shards_[static_cast<size_t>(settings_.own_shard)];
   if (synced_ && !own.is_leader && own.leadership_version != 0 && StateFresh(now) &&
@@ -77,8 +64,7 @@
     mesh::Ping ping;
     static_cast<mesh::Heartbeat&>(ping) = MakeHeartbeat(now, cached_images, peer.seen);
     ping.seq = ++ping_seq_;
-    peer.pings[ping.seq] = {now, replica_revision_};
-    while (peer.pings.size() > 64) peer.pings.erase(peer.pings.begin());
+    cancellations_.PingSent(label, ping.seq, now, replica_revision_);
     out_.peers.push_back({label, std::move(ping)});
   }
 }
@@ -137,7 +123,7 @@
 void Core::LearnCancellation(Micros now, const std::string& id) {
   const JobEntry* job = FindJob(id);
   if (job != nullptr && job->record.state != JobState::kOpen) return;
-  if (!reported_cancels_.insert(id).second) return;
+  if (!cancellations_.AddReported(id)) return;
   StopJob(now, id);
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     if (shards_[static_cast<size_t>(shard_id)].is_leader) MarkDirty(shard_id);
@@ -357,16 +343,6 @@
   return shard.rival_epoch > shard.epoch ? shard.rival_leader : "";
 }
 
-bool Core::MayRenew(Micros now) const {
-  // A steady clock begins near 0 with its machine: never having known anything must not
-  // look like having known all a moment ago.
-  if (replica_time_ == 0) return false;
-  Micros bound = now;
-  for (const auto& [label, peer] : peers_)
-    bound = std::min(bound, std::max(replica_time_, peer.cancels_known_at));
-  return now < bound + Shortest(settings_.cancel) - Longest(settings_.lease) - kRenewMargin;
-}
-
 bool Core::Up(Micros now) const {
   // The machine types follow within moments; waiting for them would cost a whole
   // round of the balancer's probes.
--- a/src/core/replica.cc
+++ b/src/core/replica.cc
@@ -12,7 +12,6 @@
 constexpr double kWatchReserve = 20;  // requests
 constexpr Micros kWatchPause = 40 * kMilli;
 constexpr int kListLimit = 500;
-constexpr size_t kMaxCancelled = 4000;  // kept to be told to peers
 const std::string kTypesKey = std::string(kRoot) + "types";
 }  // namespace
 
@@ -69,7 +68,7 @@
   synced_ = true;
   watched_at_ = now;
   replica_revision_ = list_revision_;
-  replica_time_ = std::max(replica_time_, list_sent_);
+  cancellations_.ReplicaCompleteUpTo(list_sent_);
   StartWatch(now);
 }
 
@@ -101,7 +100,7 @@
          }
          ReindexShards(t);
          replica_revision_ = std::max(replica_revision_, reply->revision);
-         replica_time_ = std::max(replica_time_, sent);
+         cancellations_.ReplicaCompleteUpTo(sent);
          // Each change ends a watch, and each node has one: when requests are short, a
          // watch waits a little and its answer takes more changes.
          if (state_budget_.Has(t, kWatchReserve)) {
@@ -154,14 +153,10 @@
       int shard_id = entry.record.shard_id;
       bool known_shard = shard_id >= 0 && shard_id < settings_.shard_count();
       if (entry.record.state == JobState::kCancelled) {
-        cancelled_[version] = k.id;  // each is a transaction of its own
-        while (cancelled_.size() > kMaxCancelled) {
-          cancelled_from_ = std::max(cancelled_from_, cancelled_.begin()->first);
-          cancelled_.erase(cancelled_.begin());
-        }
+        cancellations_.AddCommitted(version, k.id);
       }
       if (entry.record.state != JobState::kOpen) {
-        reported_cancels_.erase(k.id);
+        cancellations_.ForgetReported(k.id);
         auto run = runs_.find(k.id);
         if (run != runs_.end()) {
           shards_[static_cast<size_t>(run->second.shard_id)].progress_dirty = true;
--- a/src/core/workers.cc
+++ b/src/core/workers.cc
@@ -31,8 +31,7 @@
 
 bool Core::JobOver(const std::string& job) const {
   const JobEntry* entry = FindJob(job);
-  return entry == nullptr || entry->record.state != JobState::kOpen ||
-         reported_cancels_.count(job) != 0;
+  return entry == nullptr || entry->record.state != JobState::kOpen || cancellations_.Reported(job);
 }
 
 void Core::AnswerReport(uint64_t request, const std::string& relay_from, uint64_t relay_id,
@@ -53,7 +52,7 @@
     AnswerReport(request, relay_from, relay_id, 400, wire::EncodeError("malformed report"));
     return;
   }
-  if (!synced_ && replica_time_ == 0) {
+  if (!synced_ && !cancellations_.ReplicaWasComplete()) {
     AnswerReport(request, relay_from, relay_id, 503, wire::EncodeError("not ready"));
     return;
   }
@@ -125,7 +124,7 @@
     AnswerReport(request, relay_from, relay_id, 421, wire::EncodeReportTo(""));
     return;
   }
-  if (!MayRenew(now)) {
+  if (!cancellations_.MayRenewLeases(now)) {
     AnswerReport(request, relay_from, relay_id, 503,
                  wire::EncodeError("cut off from the state service"));
     return;
@@ -214,7 +213,7 @@
   const Shard& shard = shards_[static_cast<size_t>(shard_id)];
   // A start of the leader may be under way under the same token, sent without knowing what
   // we learn soon after: until its leader would have given up on it and fenced it.
-  if (StateFresh(now) || !MayRenew(now + kCommandTimeout)) return false;
+  if (StateFresh(now) || !cancellations_.MayRenewLeases(now + kCommandTimeout)) return false;
   uint64_t epoch = std::max(shard.leadership_version, shard.rival_epoch);
   if (epoch == 0 || report.token < TokenForEpoch(epoch)) return false;
   std::string leader = LeaderLabel(shard_id);
@@ -501,7 +500,7 @@
     Probe(now, shard_id, name);
     return;
   }
-  if (!MayRenew(now)) return;
+  if (!cancellations_.MayRenewLeases(now)) return;
   const bool clean = info.token_seen >= info.required_token;
   std::vector<Command> orders;
   std::vector<Attempt> started, stopped;
--- /dev/null
+++ b/tests/core_units_test.cc
@@ -0,0 +1,171 @@
+// The classes that the core is made of, each by itself.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "core/cancellations.h"
+
+namespace troutlink {
+namespace {
+
+constexpr Micros kCancel = 30 * kSecond;
+constexpr Micros kLease = 10 * kSecond;
+
+mesh::Heartbeat Filled(const CancellationLog& log, uint64_t seen) {
+  mesh::Heartbeat heartbeat;
+  log.FillHeartbeat(seen, &heartbeat);
+  return heartbeat;
+}
+
+mesh::Heartbeat PongTo(uint64_t ping, uint64_t seen, uint64_t cancels_from = 0) {
+  mesh::Heartbeat pong;
+  pong.seq = ping;
+  pong.seen = seen;
+  pong.cancels_from = cancels_from;
+  return pong;
+}
+
+TEST(CancellationLog, CarriesWhatIsAboveThePeersRevision) {
+  CancellationLog log(kCancel, kLease);
+  log.AddCommitted(5, "a");
+  log.AddCommitted(9, "c");
+  log.AddCommitted(7, "b");
+  EXPECT_EQ(Filled(log, 0).cancels, (std::vector<std::string>{"a", "b", "c"}));
+  EXPECT_EQ(Filled(log, 5).cancels, (std::vector<std::string>{"b", "c"}));
+  EXPECT_EQ(Filled(log, 8).cancels, (std::vector<std::string>{"c"}));
+  EXPECT_TRUE(Filled(log, 9).cancels.empty());
+  EXPECT_EQ(Filled(log, 0).cancels_from, 0u);
+}
+
+TEST(CancellationLog, IsBoundedAndSaysFromWhereItIsComplete) {
+  CancellationLog log(kCancel, kLease);
+  const uint64_t most = CancellationLog::kMaxCommitted;
+  for (uint64_t revision = 1; revision <= most; ++revision) {
+    log.AddCommitted(revision, "job" + std::to_string(revision));
+  }
+  EXPECT_EQ(Filled(log, 0).cancels.size(), most);
+  EXPECT_EQ(Filled(log, 0).cancels_from, 0u);
+  log.AddCommitted(most + 1, "x");
+  log.AddCommitted(most + 2, "y");
+  const mesh::Heartbeat heartbeat = Filled(log, 0);
+  EXPECT_EQ(heartbeat.cancels.size(), most);
+  EXPECT_EQ(heartbeat.cancels.front(), "job3");
+  EXPECT_EQ(heartbeat.cancels.back(), "y");
+  EXPECT_EQ(heartbeat.cancels_from, 2u);  // 1 and 2 were dropped
+  // One that comes late and below the bound is dropped at once, and the bound stays.
+  log.AddCommitted(1, "job1");
+  EXPECT_EQ(Filled(log, 0).cancels.front(), "job3");
+  EXPECT_EQ(Filled(log, 0).cancels_from, 2u);
+}
+
+TEST(CancellationLog, KeepsReportedCancelsUntilTheReplicaHasThem) {
+  CancellationLog log(kCancel, kLease);
+  EXPECT_FALSE(log.Reported("a"));
+  EXPECT_TRUE(log.AddReported("a"));
+  EXPECT_FALSE(log.AddReported("a"));
+  EXPECT_TRUE(log.Reported("a"));
+  // A peer's revision does not matter: nobody knows where it was committed.
+  EXPECT_EQ(Filled(log, 1000).cancels, (std::vector<std::string>{"a"}));
+  log.ForgetReported("a");
+  EXPECT_FALSE(log.Reported("a"));
+  EXPECT_TRUE(Filled(log, 0).cancels.empty());
+}
+
+TEST(CancellationLog, LeavesOutReportedCancelsOfAFullMessageOnly) {
+  CancellationLog log(kCancel, kLease);
+  for (uint64_t revision = 1; revision <= CancellationLog::kMaxInMessage - 1; ++revision) {
+    log.AddCommitted(revision, "job");
+  }
+  log.AddReported("a");
+  log.AddReported("b");
+  EXPECT_EQ(Filled(log, 0).cancels.size(), CancellationLog::kMaxInMessage);
+  EXPECT_EQ(Filled(log, 0).cancels.back(), "a");
+  EXPECT_EQ(Filled(log, 1).cancels.size(), CancellationLog::kMaxInMessage);
+  EXPECT_EQ(Filled(log, 1).cancels.back(), "b");
+}
+
+TEST(CancellationLog, RenewsNothingBeforeTheFirstRead) {
+  CancellationLog log(kCancel, kLease);
+  EXPECT_FALSE(log.ReplicaWasComplete());
+  EXPECT_FALSE(log.MayRenewLeases(1));  // clocks begin near 0: not a moment after knowing all
+  log.ReplicaCompleteUpTo(kSecond);
+  EXPECT_TRUE(log.ReplicaWasComplete());
+  EXPECT_TRUE(log.MayRenewLeases(2 * kSecond));
+}
+
+TEST(CancellationLog, AloneItIsBoundByNobody) {
+  CancellationLog log(kCancel, kLease);
+  log.ReplicaCompleteUpTo(kSecond);
+  EXPECT_EQ(log.KnownUpTo(3600 * kSecond), 3600 * kSecond);
+  EXPECT_TRUE(log.MayRenewLeases(3600 * kSecond));
+}
+
+TEST(CancellationLog, BoundIsTheEarliestOverThePeers) {
+  CancellationLog log(kCancel, kLease);
+  log.AddPeer("b");
+  log.AddPeer("c");
+  log.ReplicaCompleteUpTo(10 * kSecond);
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 10 * kSecond);
+  log.PingSent("b", 1, 20 * kSecond, 7);
+  log.PingSent("c", 2, 30 * kSecond, 7);
+  log.PongReceived("c", PongTo(2, 7));
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 10 * kSecond);  // nothing of b since the replica's time
+  log.PongReceived("b", PongTo(1, 7));
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 20 * kSecond);  // when the ping was sent
+  log.ReplicaCompleteUpTo(25 * kSecond);                  // counts for every peer
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 25 * kSecond);
+  log.ReplicaCompleteUpTo(24 * kSecond);  // an answer out of turn takes nothing back
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 25 * kSecond);
+  EXPECT_EQ(log.KnownUpTo(22 * kSecond), 22 * kSecond);
+}
+
+TEST(CancellationLog, RenewsUpToTheBoundAndNotAtIt) {
+  CancellationLog log(kCancel, kLease);
+  log.AddPeer("b");
+  log.ReplicaCompleteUpTo(100 * kSecond);
+  const Micros end =
+      100 * kSecond + Shortest(kCancel) - Longest(kLease) - CancellationLog::kRenewMargin;
+  EXPECT_TRUE(log.MayRenewLeases(end - 1));
+  EXPECT_FALSE(log.MayRenewLeases(end));
+}
+
+TEST(CancellationLog, CountsOnlyPongsThatLeaveNothingOut) {
+  CancellationLog log(kCancel, kLease);
+  log.AddPeer("b");
+  log.ReplicaCompleteUpTo(kSecond);
+  log.PingSent("b", 1, 10 * kSecond, 7);
+  log.PongReceived("b", PongTo(1, 0));  // it has read nothing yet
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), kSecond);
+  log.PongReceived("b", PongTo(1, 7));  // a second pong to the same ping
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), kSecond);
+  log.PingSent("b", 2, 11 * kSecond, 7);
+  log.PongReceived("b", PongTo(2, 20, 8));  // dropped some above what we hold
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), kSecond);
+  log.PingSent("b", 3, 12 * kSecond, 8);
+  log.PongReceived("b", PongTo(3, 20, 8));
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 12 * kSecond);
+}
+
+TEST(CancellationLog, PongsOutOfTurnAndToForgottenPingsCountForNothing) {
+  CancellationLog log(kCancel, kLease);
+  log.AddPeer("b");
+  log.ReplicaCompleteUpTo(kSecond);
+  log.PingSent("b", 1, 10 * kSecond, 7);
+  log.PingSent("b", 2, 11 * kSecond, 7);
+  log.PongReceived("b", PongTo(2, 7));
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 11 * kSecond);
+  log.PongReceived("b", PongTo(1, 7));
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 11 * kSecond);
+  // More pings in flight than are kept: the oldest is forgotten.
+  for (uint64_t ping = 10; ping <= 10 + CancellationLog::kMaxPings; ++ping) {
+    log.PingSent("b", ping, (10 + static_cast<Micros>(ping)) * kSecond, 7);
+  }
+  log.PongReceived("b", PongTo(10, 7));
+  EXPECT_EQ(log.KnownUpTo(200 * kSecond), 11 * kSecond);
+  log.PongReceived("b", PongTo(11, 7));
+  EXPECT_EQ(log.KnownUpTo(200 * kSecond), 21 * kSecond);
+}
+
+}  // namespace
+}  // namespace troutlink
