--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -19,6 +19,7 @@
       started_(now),
       wall_offset_(wall - now),
       shards_(static_cast<size_t>(settings.shard_count())),
+      session_lease_(FromSeconds(settings.op.claim_life_s())),
       cancellations_(settings.cancel, settings.lease),
       health_(static_cast<int>(settings.op.machine_failures()),
               static_cast<int>(settings.op.job_failures())),
@@ -180,11 +181,7 @@
   auto peer = peers_.find(from);
   if (peer == peers_.end()) return Flush();
   if (const auto* ping = std::get_if<mesh::Ping>(&message)) {
-    HandleHeartbeat(now, from, *ping);
-    mesh::Pong pong;
-    static_cast<mesh::Heartbeat&>(pong) = MakeHeartbeat(now, false, ping->seen);
-    pong.seq = ping->seq;
-    out_.peers.push_back({from, std::move(pong)});
+    HandlePing(now, from, *ping);
   } else if (const auto* pong = std::get_if<mesh::Pong>(&message)) {
     HandleHeartbeat(now, from, *pong);
     cancellations_.PongReceived(from, *pong);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -20,6 +20,7 @@
 #include "core/io.h"
 #include "core/placement.h"
 #include "core/records.h"
+#include "core/session_lease.h"
 #include "wire/messages.h"
 
 namespace troutlink {
@@ -154,17 +155,46 @@
   void DropFinishedSpec(JobEntry* entry);
   int ShardOfMachine(const std::string& name) const;
 
-  // --- leadership (leadership.cc) ----------------------------------------------
+  Shard& ShardAt(int shard_id) { return shards_[static_cast<size_t>(shard_id)]; }
+  const Shard& ShardAt(int shard_id) const { return shards_[static_cast<size_t>(shard_id)]; }
+
+  // --- heartbeats (heartbeats.cc): what controllers tell each other ----------------
   void Heartbeat(Micros now);
   // `seen`: the receiver's replica holds all up to this revision.
-  mesh::Heartbeat MakeHeartbeat(Micros now, bool ready, uint64_t seen) const;
-  void LearnCancellation(Micros now, const std::string& id);
+  mesh::Heartbeat MakeHeartbeat(Micros now, bool cached_images, uint64_t seen) const;
+  void TellEpochs(mesh::Heartbeat* heartbeat) const;
+  void TellSilentMachines(Micros now, mesh::Heartbeat* heartbeat) const;
+  void TellCachedImages(mesh::Heartbeat* heartbeat) const;
+  // Another leads our own shard, and we are well enough to lead it ourselves.
+  bool WantsOwnShard(Micros now) const;
+  void HandlePing(Micros now, const std::string& from, const mesh::Ping& ping);
   void HandleHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
+  void LearnEpochs(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
+  // A peer tells that the job is cancelled.
+  void LearnCancellation(Micros now, const std::string& id);
+  // Whether the machine is in the assignment table of a shard that is not ours.
+  bool LedByAnother(const std::string& machine) const;
+  void LearnCachedImages(Micros now, const mesh::Heartbeat& heartbeat);
+  void LearnSilentMachines(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
+
+  // --- leadership (leadership.cc) ----------------------------------------------
   void RunLease(Micros now);
+  void GrantLease();
+  void RenewLease();
   void RunElections(Micros now);
+  // The shard has a leadership record: it may be ours and unknown to this process.
+  void ReclaimLeadership(Micros now, int shard_id);
+  // How long a shard must have been without a leader before we take it: the next in the
+  // ring goes first.
+  Micros ElectionDelay(Micros now, int shard_id) const;
   void AcquireLeadership(Micros now, int shard_id);
   void OnElected(Micros now, int shard_id, uint64_t revision);
+  void ForgetDecisions(int shard_id);
+  // What a new leader assumes of the machines of its shard.
+  void InheritMachines(Micros now, int shard_id);
+  static void InheritMachine(uint64_t epoch, const AssignedMachine& machine, MachineInfo* info);
   void LoseLeadership(Micros now, int shard_id, const char* why);
+  void LoseAllLeaderships(Micros now, const char* why);
   void HandBack(Micros now, int shard_id);
   std::string LeaderLabel(int shard_id) const;
   bool StateFresh(Micros now) const { return now - state_ok_ < 1500 * kMilli; }
@@ -449,11 +479,7 @@
   std::map<std::string, int> machine_shard_;
 
   // Leadership.
-  uint64_t lease_ = 0;
-  bool lease_busy_ = false;
-  Micros lease_sent_ = 0;
-  Micros lease_until_ = 0;  // by our clock, counted from the sending
-  Micros lease_retry_ = 0;
+  SessionLease session_lease_;
   struct Peer {
     std::string label;
     Micros heard = 0;                       // last message
--- /dev/null
+++ b/src/core/heartbeats.cc
@@ -0,0 +1,176 @@
+// Heartbeats: what controllers tell each other every half second, and what they learn by it.
+#include <algorithm>
+
+#include "core/core.h"
+
+namespace troutlink {
+
+namespace {
+constexpr Micros kHeartbeatPeriod = 500 * kMilli;
+constexpr Micros kCachedImagesPeriod = 2 * kSecond;
+constexpr size_t kMaxCachedImages = 1000;    // machines in one message
+constexpr size_t kMaxSilentMachines = 2000;  // the same: a whole fleet may fall silent
+}  // namespace
+
+void Core::Heartbeat(Micros now) {
+  next_heartbeat_ = now + kHeartbeatPeriod;
+  // What machines hold is long and changes slowly.
+  const bool cached_images = now >= next_cached_images_;
+  if (cached_images) next_cached_images_ = now + kCachedImagesPeriod;
+  for (auto& [label, peer] : peers_) {
+    mesh::Ping ping;
+    static_cast<mesh::Heartbeat&>(ping) = MakeHeartbeat(now, cached_images, peer.seen);
+    ping.seq = ++ping_seq_;
+    cancellations_.PingSent(label, ping.seq, now, replica_revision_);
+    out_.peers.push_back({label, std::move(ping)});
+  }
+}
+
+mesh::Heartbeat Core::MakeHeartbeat(Micros now, bool cached_images, uint64_t seen) const {
+  mesh::Heartbeat heartbeat;
+  heartbeat.state_age_us =
+      static_cast<uint64_t>(state_ok_ == 0 ? now - started_ + 3600 * kSecond : now - state_ok_);
+  heartbeat.seen = replica_revision_;
+  TellEpochs(&heartbeat);
+  TellSilentMachines(now, &heartbeat);
+  if (cached_images) TellCachedImages(&heartbeat);
+  cancellations_.FillHeartbeat(seen, &heartbeat);
+  if (WantsOwnShard(now)) heartbeat.wanted.push_back(static_cast<uint64_t>(settings_.own_shard));
+  return heartbeat;
+}
+
+void Core::TellEpochs(mesh::Heartbeat* heartbeat) const {
+  for (size_t shard_id = 0; shard_id < shards_.size(); ++shard_id) {
+    const Shard& shard = shards_[shard_id];
+    if (shard.is_leader) {
+      heartbeat->epochs.push_back({shard_id, shard.epoch, settings_.label});
+    } else if (shard.rival_epoch > shard.epoch) {
+      heartbeat->epochs.push_back({shard_id, shard.rival_epoch, shard.rival_leader});
+    }
+  }
+}
+
+void Core::TellSilentMachines(Micros now, mesh::Heartbeat* heartbeat) const {
+  for (const Shard& shard : shards_) {
+    if (!shard.is_leader) continue;
+    for (const auto& [name, machine] : shard.assignments.machines) {
+      if (heartbeat->silent_machines.size() >= kMaxSilentMachines) return;
+      auto info = machines_.find(name);
+      if (info == machines_.end() || info->second.first_heard == 0) continue;
+      const Micros silent = now - std::max(info->second.heard, info->second.since);
+      if (silent > settings_.report * 3 / 2) {
+        heartbeat->silent_machines.push_back({name, static_cast<uint64_t>(silent)});
+      }
+    }
+  }
+}
+
+void Core::TellCachedImages(mesh::Heartbeat* heartbeat) const {
+  for (const Shard& shard : shards_) {
+    if (!shard.is_leader) continue;
+    for (const auto& [name, machine] : shard.assignments.machines) {
+      if (heartbeat->cached_images.size() >= kMaxCachedImages) return;
+      auto info = machines_.find(name);
+      if (info == machines_.end() || machine.spot) continue;
+      mesh::CachedImages cached{name, {}};
+      for (const auto& [image, used] : info->second.images) {
+        if (service_images_.count(image) != 0) cached.images.push_back(image);
+      }
+      if (!cached.images.empty()) heartbeat->cached_images.push_back(std::move(cached));
+    }
+  }
+}
+
+bool Core::WantsOwnShard(Micros now) const {
+  const Shard& own = ShardAt(settings_.own_shard);
+  return synced_ && !own.is_leader && own.leadership_version != 0 && StateFresh(now) &&
+         now - started_ > FromSeconds(settings_.op.hand_back_after_s());
+}
+
+void Core::HandlePing(Micros now, const std::string& from, const mesh::Ping& ping) {
+  HandleHeartbeat(now, from, ping);
+  mesh::Pong pong;
+  static_cast<mesh::Heartbeat&>(pong) = MakeHeartbeat(now, false, ping.seen);
+  pong.seq = ping.seq;
+  out_.peers.push_back({from, std::move(pong)});
+}
+
+void Core::HandleHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat) {
+  Peer& peer = peers_[from];
+  peer.heard = now;
+  peer.seen = heartbeat.seen;
+  peer.state_age = static_cast<Micros>(
+      std::min<uint64_t>(heartbeat.state_age_us, static_cast<uint64_t>(1) << 60));
+  LearnEpochs(now, from, heartbeat);
+  for (const std::string& id : heartbeat.cancels) LearnCancellation(now, id);
+  LearnCachedImages(now, heartbeat);
+  LearnSilentMachines(now, from, heartbeat);
+  for (uint64_t wanted : heartbeat.wanted) {
+    if (wanted < shards_.size() && settings_.labels[wanted] == from)
+      HandBack(now, static_cast<int>(wanted));
+  }
+}
+
+void Core::LearnEpochs(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat) {
+  Peer& peer = peers_[from];
+  peer.holds.clear();
+  for (const mesh::ShardEpoch& told : heartbeat.epochs) {
+    if (told.leader == from) peer.holds.insert(told.shard_id);
+    if (told.shard_id >= shards_.size() || told.leader == settings_.label) continue;
+    Shard& shard = shards_[told.shard_id];
+    if (told.revision <= shard.rival_epoch) continue;
+    shard.rival_epoch = told.revision;
+    shard.rival_leader = told.leader;
+    if (shard.is_leader && told.revision > shard.epoch) {
+      LoseLeadership(now, static_cast<int>(told.shard_id), "a peer reports another leader");
+    }
+  }
+}
+
+// Our replica may lag, or we may be cut off from the state service: the tasks must end
+// all the same.
+void Core::LearnCancellation(Micros now, const std::string& id) {
+  const JobEntry* job = FindJob(id);
+  if (job != nullptr && job->record.state != JobState::kOpen) return;
+  if (!cancellations_.AddReported(id)) return;
+  StopJob(now, id);
+  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
+    if (ShardAt(shard_id).is_leader) MarkDirty(shard_id);
+  }
+}
+
+bool Core::LedByAnother(const std::string& machine) const {
+  const int shard_id = ShardOfMachine(machine);
+  return shard_id >= 0 && !ShardAt(shard_id).is_leader;
+}
+
+// Kept with the machine: who takes it over knows what it has.
+void Core::LearnCachedImages(Micros now, const mesh::Heartbeat& heartbeat) {
+  for (const mesh::CachedImages& cached : heartbeat.cached_images) {
+    if (!LedByAnother(cached.machine)) continue;
+    MachineInfo& info = machines_[cached.machine];
+    info.images.clear();
+    for (const std::string& image : cached.images) info.images[image] = now;
+  }
+}
+
+void Core::LearnSilentMachines(Micros now, const std::string& from,
+                               const mesh::Heartbeat& heartbeat) {
+  std::set<std::string> silent_machines;
+  for (const mesh::SilentMachine& silent : heartbeat.silent_machines) {
+    if (!LedByAnother(silent.machine)) continue;
+    machines_[silent.machine].reported_silent_since =
+        now - static_cast<Micros>(std::min<uint64_t>(silent.silent_us, 3600 * kSecond));
+    silent_machines.insert(silent.machine);
+  }
+  // Heard again by its leader: whoever takes the shard over must not think that it was
+  // silent all the time since.
+  Peer& peer = peers_[from];
+  for (const std::string& name : peer.silent_machines) {
+    auto info = silent_machines.count(name) == 0 ? machines_.find(name) : machines_.end();
+    if (info != machines_.end()) info->second.reported_silent_since = 0;
+  }
+  peer.silent_machines = std::move(silent_machines);
+}
+
+}  // namespace troutlink
--- a/tests/core_units_test.cc
+++ b/tests/core_units_test.cc
@@ -5,6 +5,7 @@
 #include <vector>
 
 #include "core/cancellations.h"
+#include "core/session_lease.h"
 
 namespace troutlink {
 namespace {
@@ -167,5 +168,65 @@
   EXPECT_EQ(log.KnownUpTo(200 * kSecond), 21 * kSecond);
 }
 
+constexpr Micros kLife = 4 * kSecond;
+
+TEST(SessionLease, IsAskedForUntilItIsGranted) {
+  SessionLease lease(kLife);
+  EXPECT_FALSE(lease.held());
+  EXPECT_TRUE(lease.CallDue(kSecond));
+  lease.CallSent();
+  EXPECT_FALSE(lease.CallDue(kSecond));  // one call at a time
+  EXPECT_FALSE(lease.CallDue(60 * kSecond));
+  lease.GrantAnswered(2 * kSecond, std::nullopt);
+  EXPECT_FALSE(lease.held());
+  EXPECT_FALSE(lease.CallDue(2 * kSecond + 200 * kMilli - 1));
+  EXPECT_TRUE(lease.CallDue(2 * kSecond + 200 * kMilli));
+  lease.CallSent();
+  lease.GrantAnswered(3 * kSecond, 77);
+  EXPECT_TRUE(lease.held());
+  EXPECT_EQ(lease.id(), 77u);
+  EXPECT_FALSE(lease.CallDue(4 * kSecond - 1));
+  EXPECT_TRUE(lease.CallDue(4 * kSecond));  // a quarter of its life later
+}
+
+TEST(SessionLease, IsRenewedAndRetriedAfterAFailure) {
+  SessionLease lease(kLife);
+  lease.CallSent();
+  lease.GrantAnswered(kSecond, 77);
+  lease.CallSent();
+  EXPECT_EQ(lease.RenewAnswered(3 * kSecond, 77, 200), SessionLease::Renewal::kRenewed);
+  EXPECT_FALSE(lease.CallDue(4 * kSecond - 1));
+  EXPECT_TRUE(lease.CallDue(4 * kSecond));
+  for (int status : {0, -1, 429, 500, 503}) {
+    lease.CallSent();
+    EXPECT_EQ(lease.RenewAnswered(5 * kSecond, 77, status), SessionLease::Renewal::kFailed);
+    EXPECT_TRUE(lease.held());  // nobody said that it ended
+    EXPECT_FALSE(lease.CallDue(5 * kSecond + 250 * kMilli - 1));
+    EXPECT_TRUE(lease.CallDue(5 * kSecond + 250 * kMilli));
+  }
+}
+
+TEST(SessionLease, EndsWhenTheStateServiceDoesNotKnowIt) {
+  SessionLease lease(kLife);
+  lease.CallSent();
+  lease.GrantAnswered(kSecond, 77);
+  lease.CallSent();
+  EXPECT_EQ(lease.RenewAnswered(6 * kSecond, 77, 404), SessionLease::Renewal::kEnded);
+  EXPECT_FALSE(lease.held());
+  EXPECT_TRUE(lease.CallDue(6 * kSecond));  // a new one is asked for at once
+}
+
+TEST(SessionLease, TakesNoAnswerOfADroppedLease) {
+  SessionLease lease(kLife);
+  lease.CallSent();
+  lease.GrantAnswered(kSecond, 77);
+  lease.CallSent();
+  lease.Drop();
+  EXPECT_FALSE(lease.held());
+  EXPECT_EQ(lease.RenewAnswered(3 * kSecond, 77, 404), SessionLease::Renewal::kOutdated);
+  EXPECT_EQ(lease.id(), 0u);
+  EXPECT_TRUE(lease.CallDue(3 * kSecond));
+}
+
 }  // namespace
 }  // namespace troutlink
