--- /dev/null
+++ b/src/core/commands.cc
@@ -0,0 +1,238 @@
+// Commands to workers: in answers to reports and sent directly, and the fencing tokens that
+// they bear.
+#include <algorithm>
+
+#include "core/core.h"
+
+namespace troutlink {
+
+namespace {
+constexpr Micros kGraceSlack = 3 * kSecond;
+}  // namespace
+
+uint64_t Core::TokenOf(int shard_id, const MachineInfo& info) const {
+  return std::max(TokenForEpoch(ShardAt(shard_id).epoch), info.fencing_token);
+}
+
+// A fencing token used to be a commit's revision: in an outage there was none, the machine's lease
+// was renewed under the token of a command that was still under way, and the command was
+// carried out long after its job had been cancelled.
+void Core::RaiseFencingToken(int shard_id, MachineInfo* info, uint64_t token) {
+  info->required_token = std::max(info->required_token, token + 1);
+  if (info->required_token <= TokenOf(shard_id, *info)) return;
+  ++counters_.fencing_raises;
+  info->fencing_token = info->required_token;
+}
+
+Core::AttemptInfo* Core::FindAttempt(const Attempt& attempt) {
+  auto it = attempts_.find(attempt);
+  return it == attempts_.end() ? nullptr : &it->second;
+}
+
+void Core::StopAttempt(Micros now, const Attempt& attempt, AttemptInfo* info, Micros grace) {
+  (void)attempt;
+  if (info->stopping && info->grace <= grace) return;
+  if (!info->stopping) info->stop_at = now;
+  info->stopping = true;
+  info->grace = grace;
+  info->stop_sent = false;
+  ++counters_.stops;
+}
+
+void Core::StopJob(Micros now, const std::string& job) {
+  for (auto it = attempts_.lower_bound({job, 0, 0}); it != attempts_.end() && it->first.job == job;
+       ++it) {
+    AttemptInfo& known = it->second;
+    if (known.gone) continue;
+    StopAttempt(now, it->first, &known, 0);
+    // What still waits for its image would begin before its machine reports again.
+    if (known.state == TaskState::kFetching && known.session != 0) {
+      Push(now, known.shard_id, known.machine);
+    }
+  }
+}
+
+std::vector<Command> Core::MakeOrders(Micros now, int shard_id, const AssignedMachine& machine,
+                                      const Report& report) {
+  std::vector<Command> orders;
+  const bool clean = report.token >= machines_[machine.name].required_token;
+  std::set<Attempt> reported;
+  for (const TaskReport& task : report.tasks) {
+    reported.insert({task.job, task.task, task.attempt});
+    OrderForTask(now, shard_id, machine, clean, task, &orders);
+  }
+  if (ShardAt(shard_id).is_leader && clean) RepeatStarts(machine, report, reported, &orders);
+  return orders;
+}
+
+void Core::OrderForTask(Micros now, int shard_id, const AssignedMachine& machine, bool clean,
+                        const TaskReport& task, std::vector<Command>* orders) {
+  const Attempt attempt{task.job, task.task, task.attempt};
+  AttemptInfo* known = FindAttempt(attempt);
+  if (task.state == TaskState::kExited) {
+    // After the reap a repeated start would run it once more, so it waits
+    // until no start of ours can still be under way.
+    if (clean && (known == nullptr || !known->direct)) {
+      orders->push_back({Command::Op::kForget, task.job, task.task, task.attempt, 0});
+    }
+    return;
+  }
+  if (known == nullptr || known->gone || known->machine != machine.name) {
+    // Intended by nobody: its record was removed when it was proven gone, or
+    // the machine was taken over from a past that nobody remembers.
+    if (ShardAt(shard_id).is_leader) {
+      orders->push_back({Command::Op::kStop, task.job, task.task, task.attempt, 0});
+    }
+    return;
+  }
+  if (JobOver(task.job)) StopAttempt(now, attempt, known, 0);
+  if (!known->stopping) return;
+  const bool saving = task.state == TaskState::kSaving;
+  const bool overdue = saving && now - known->stop_at > 2 * known->grace + kGraceSlack;
+  if (saving && !overdue && known->grace != 0) return;  // it was told, and saves its state
+  orders->push_back(
+      {Command::Op::kStop, task.job, task.task, task.attempt, overdue ? 0 : known->grace});
+  known->stop_sent = true;
+}
+
+// Starts whose command got lost.
+void Core::RepeatStarts(const AssignedMachine& machine, const Report& report,
+                        const std::set<Attempt>& reported, std::vector<Command>* orders) {
+  for (const Attempt& attempt : machine.attempts) {
+    if (reported.count(attempt) != 0) continue;
+    AttemptInfo* known = FindAttempt(attempt);
+    if (known == nullptr || !known->fresh || known->gone || known->seen || known->direct ||
+        known->stopping || JobOver(attempt.job)) {
+      continue;
+    }
+    if (known->session != 0 && known->session != report.session) continue;
+    known->session = report.session;
+    known->reply_seq = report.seq;
+    ++counters_.starts;
+    orders->push_back({Command::Op::kStart, attempt.job, attempt.task, attempt.number, 0});
+  }
+}
+
+void Core::Push(Micros now, int shard_id, const std::string& name) {
+  const Shard& shard = ShardAt(shard_id);
+  auto machine = shard.assignments.machines.find(name);
+  if (machine == shard.assignments.machines.end() || !shard.is_leader) return;
+  MachineInfo& info = machines_[name];
+  if (info.direct_busy || info.addr.empty() || now < info.no_direct_before) return;
+  if (info.session == 0 || (info.probe && info.ignored_answers >= kMaxIgnoredAnswers)) {
+    Probe(now, shard_id, name);
+    return;
+  }
+  if (!cancellations_.MayRenewLeases(now)) return;
+  DirectCommands commands = MakeDirectCommands(now, shard_id, machine->second, info);
+  // After a takeover the worker may still report to the previous leader: our
+  // token makes it look for the right one.
+  const bool show_token = info.token_seen < commands.token;
+  if (commands.orders.empty() && !show_token) return;
+  info.direct_busy = true;
+  std::string body = wire::EncodeCommands(commands.token, info.session, commands.orders);
+  Send(Dest::kWorker, info.addr, "POST", std::string(wire::kCommandsPath), std::move(body),
+       kCommandTimeout,
+       [this, shard_id, name, commands = std::move(commands)](Micros answered, int status,
+                                                              const std::string& reply) {
+         OnCommandsAnswered(answered, shard_id, name, commands, status, reply);
+       });
+}
+
+Core::DirectCommands Core::MakeDirectCommands(Micros now, int shard_id,
+                                              const AssignedMachine& machine,
+                                              const MachineInfo& info) {
+  DirectCommands commands;
+  commands.epoch = ShardAt(shard_id).epoch;
+  commands.token = TokenOf(shard_id, info);
+  const bool clean = info.token_seen >= info.required_token;
+  for (const Attempt& attempt : machine.attempts) {
+    AttemptInfo* known = FindAttempt(attempt);
+    if (known == nullptr || known->gone) continue;
+    const bool over = JobOver(attempt.job);
+    if ((known->seen || known->session != 0) && (known->stopping || over) && !known->stop_sent) {
+      if (over) StopAttempt(now, attempt, known, 0);
+      commands.orders.push_back(
+          {Command::Op::kStop, attempt.job, attempt.task, attempt.number, known->grace});
+      known->stop_sent = true;
+      commands.stopped.push_back(attempt);
+    } else if (known->fresh && !known->seen && !known->stopping && !over && known->session == 0 &&
+               clean) {
+      known->direct = true;
+      known->start_token = commands.token;
+      known->session = info.session;
+      commands.started.push_back(attempt);
+      ++counters_.starts;
+      commands.orders.push_back(
+          {Command::Op::kStart, attempt.job, attempt.task, attempt.number, 0});
+    }
+  }
+  return commands;
+}
+
+void Core::OnCommandsAnswered(Micros now, int shard_id, const std::string& name,
+                              const DirectCommands& commands, int status, const std::string& body) {
+  MachineInfo& info = machines_[name];
+  info.direct_busy = false;
+  for (const Attempt& attempt : commands.started) {
+    if (AttemptInfo* known = FindAttempt(attempt)) known->direct = false;
+  }
+  std::optional<Report> report;
+  if (status == 200 || status == 409) report = wire::DecodeReport(body);
+  if (status != kNotSent && !report) {
+    // It may run at any later time with this token: nothing on the
+    // machine proves anything until the worker has seen a higher one.
+    ++counters_.worker_unknown;
+    RaiseFencingToken(shard_id, &info, commands.token);
+  }
+  if (!report) {
+    // A machine that reaches no controller hears of stops in no other way.
+    for (const Attempt& attempt : commands.stopped) {
+      if (AttemptInfo* known = FindAttempt(attempt)) known->stop_sent = false;
+    }
+    NoteDirectFailure(now, &info);
+    return;
+  }
+  info.direct_failures = 0;
+  const Shard& shard = ShardAt(shard_id);
+  if (!shard.is_leader || shard.epoch != commands.epoch) return;
+  auto machine = shard.assignments.machines.find(name);
+  if (machine == shard.assignments.machines.end() || report->machine != name) return;
+  ProcessReport(now, shard_id, machine->second, *report, true);
+  if (status == 200) Push(now, shard_id, name);
+}
+
+void Core::NoteDirectFailure(Micros now, MachineInfo* info) {
+  info->no_direct_before = now + (kSecond << std::min(info->direct_failures, 2));
+  ++info->direct_failures;
+}
+
+void Core::Probe(Micros now, int shard_id, const std::string& name) {
+  MachineInfo& info = machines_[name];
+  if (info.direct_busy || info.addr.empty() || now < info.no_direct_before) return;
+  info.direct_busy = true;
+  Send(Dest::kWorker, info.addr, "GET", std::string(wire::kShowPath), "", kCommandTimeout,
+       [this, shard_id, name](Micros answered, int status, const std::string& body) {
+         OnProbeAnswered(answered, shard_id, name, status, body);
+       });
+}
+
+void Core::OnProbeAnswered(Micros now, int shard_id, const std::string& name, int status,
+                           const std::string& body) {
+  MachineInfo& info = machines_[name];
+  info.direct_busy = false;
+  std::optional<Report> report;
+  if (status == 200) report = wire::DecodeReport(body);
+  if (!report || report->machine != name) {
+    NoteDirectFailure(now, &info);
+    return;
+  }
+  info.direct_failures = 0;
+  const Shard& shard = ShardAt(shard_id);
+  auto machine = shard.assignments.machines.find(name);
+  if (!shard.is_leader || machine == shard.assignments.machines.end()) return;
+  ProcessReport(now, shard_id, machine->second, *report, true);
+  Push(now, shard_id, name);
+}
+
+}  // namespace troutlink
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -115,7 +115,7 @@
     return false;
   };
   if (target == wire::kReportPath) {
-    if (only("POST")) OnReport(now, request.id, "", 0, request.body);
+    if (only("POST")) OnReport(now, {request.id, "", 0}, request.body);
   } else if (target == wire::kUpPath) {
     if (only("GET")) {
       if (Up(now)) {
@@ -186,7 +186,7 @@
     HandleHeartbeat(now, from, *pong);
     cancellations_.PongReceived(from, *pong);
   } else if (const auto* relay = std::get_if<mesh::Relay>(&message)) {
-    OnReport(now, 0, from, relay->id, relay->body);
+    OnReport(now, {0, from, relay->id}, relay->body);
   } else if (const auto* reply = std::get_if<mesh::RelayReply>(&message)) {
     auto it = relays_.find(reply->id);
     if (it != relays_.end()) {
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -251,10 +251,8 @@
   // Empty: it can run.
   std::string NeverRuns(const JobSpec& spec) const;
 
-  // Answers in a row without effect after which a machine gets no more work.
-  static constexpr int kMaxIgnoredAnswers = 2;
-
-  // --- workers (workers.cc) ----------------------------------------------------
+  // --- workers (reports.cc, worker_state.cc, commands.cc)
+  // ----------------------------------------------------
   struct AttemptInfo {
     std::string machine;
     int shard_id = 0;
@@ -316,28 +314,91 @@
     std::string redirected_to;
     Micros relay_until = 0;
   };
-  void OnReport(Micros now, uint64_t request, const std::string& relay_from, uint64_t relay_id,
-                const std::string& body);
+  // Answers in a row without effect after which a machine gets no more work.
+  static constexpr int kMaxIgnoredAnswers = 2;
+  // How long a direct command may take; then its machine is fenced.
+  static constexpr Micros kCommandTimeout = 2 * kSecond;
+
+  // Where a report came from and its answer goes.
+  struct ReportSource {
+    uint64_t request = 0;  // the worker's, when it came to us
+    std::string peer;      // that relayed it; empty: it came to us
+    uint64_t relay = 0;    // the relay's number at that peer
+  };
+  void OnReport(Micros now, const ReportSource& source, const std::string& body);
+  // Of a machine in no assignment table: it may be adopted soon.
+  void OnUnassignedReport(Micros now, const ReportSource& source, const Report& report,
+                          const std::string& body);
+  // Sends the worker to the leader of its shard, or relays its report to the leader.
+  void PassOnReport(Micros now, const ReportSource& source, int shard_id, const Report& report,
+                    const std::string& body);
+  bool NeedsRelay(Micros now, const std::string& leader, MachineInfo* info) const;
   // Whether to keep the leases of a shard's workers alive for a leader that ended
   // while nobody can reach the state service to take its place.
   bool MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const;
-  void AnswerReport(uint64_t request, const std::string& relay_from, uint64_t relay_id, int status,
-                    std::string body);
+  void RenewOnBehalf(const ReportSource& source, const Report& report);
+  void AnswerAsLeader(Micros now, const ReportSource& source, int shard_id, const Report& report);
+  void AnswerReport(const ReportSource& source, int status, std::string body);
   // Stops of what a report shows of jobs that are over: each answer that renews a lease
   // bears them.
   std::vector<Command> StopsOfOver(const Report& report) const;
   void NoteAnswer(Micros now, MachineInfo* info, const std::vector<Command>& orders);
   void CheckAnswersTakeEffect(Micros now, int shard_id, MachineInfo* info, const Report& report,
                               bool new_session);
+  // A new session began: the lease ended although we may just have renewed it.
+  void CheckAnswerKeptLease(Micros now, int shard_id, MachineInfo* info, const Report& report);
+  // Whether the report shows that the last answer's order for this attempt was carried out.
+  bool OrderTookEffect(const Attempt& attempt, const Report& report) const;
+
+  // What a report's absences may prove.
+  struct Evidence {
+    const Report& report;
+    bool new_session = false;  // it is the first of its session
+    bool direct = false;       // it answers a direct command
+    bool clean = false;        // no command sent before the worker's token can still run
+  };
+  // Learns from a report or from the answer to a direct command. False when it
+  // is not newer than what is known.
   bool ProcessReport(Micros now, int shard_id, const AssignedMachine& machine, const Report& report,
                      bool direct);
+  void NoteReport(Micros now, int shard_id, const Report& report, bool direct, MachineInfo* info);
+  void TaskReported(Micros now, int shard_id, const AssignedMachine& machine,
+                    const Attempt& attempt, AttemptInfo* known, uint64_t session,
+                    const TaskReport& task);
+  // Whether an attempt that a report lacks is gone, and can not begin any more.
+  bool ProvesAbsence(const Evidence& evidence, const Attempt& attempt,
+                     const AttemptInfo& known) const;
+  void TaskExited(Micros now, int shard_id, const AssignedMachine& machine, const Attempt& attempt,
+                  AttemptInfo* known, const TaskReport& task);
+  void TaskDone(Micros now, int shard_id, const Attempt& attempt, Micros running_at);
+  void MarkGone(int shard_id, const Attempt& attempt, AttemptInfo* known);
+
+  AttemptInfo* FindAttempt(const Attempt& attempt);
+  // The orders that answer a report which was taken.
   std::vector<Command> MakeOrders(Micros now, int shard_id, const AssignedMachine& machine,
                                   const Report& report);
-  void TaskExited(Micros now, int shard_id, const AssignedMachine& machine, const Attempt& attempt,
-                  AttemptInfo* info, const TaskReport& task);
-  void MarkGone(int shard_id, const Attempt& attempt, AttemptInfo* info);
+  void OrderForTask(Micros now, int shard_id, const AssignedMachine& machine, bool clean,
+                    const TaskReport& task, std::vector<Command>* orders);
+  void RepeatStarts(const AssignedMachine& machine, const Report& report,
+                    const std::set<Attempt>& reported, std::vector<Command>* orders);
+  // Commands that are sent without waiting for a report.
+  struct DirectCommands {
+    uint64_t epoch = 0;
+    uint64_t token = 0;
+    std::vector<Command> orders;
+    std::vector<Attempt> started, stopped;
+  };
+  // Sends what a machine has to hear now instead of waiting for its next report.
   void Push(Micros now, int shard_id, const std::string& machine);
+  DirectCommands MakeDirectCommands(Micros now, int shard_id, const AssignedMachine& machine,
+                                    const MachineInfo& info);
+  void OnCommandsAnswered(Micros now, int shard_id, const std::string& name,
+                          const DirectCommands& commands, int status, const std::string& body);
+  // Asks a machine for its state: no session is known, or it does not seem to hear us.
   void Probe(Micros now, int shard_id, const std::string& machine);
+  void OnProbeAnswered(Micros now, int shard_id, const std::string& name, int status,
+                       const std::string& body);
+  static void NoteDirectFailure(Micros now, MachineInfo* info);
   // Tokens leave room below each revision for fencing tokens, which so need no commit: no other
   // election or move has the same revision, and all later ones have higher tokens.
   static constexpr int kFencingBits = 20;
--- /dev/null
+++ b/src/core/reports.cc
@@ -0,0 +1,243 @@
+// A worker's report arrives: who answers it, and whether that may renew the worker's lease.
+#include <algorithm>
+
+#include "base/ids.h"
+#include "core/core.h"
+
+namespace troutlink {
+
+namespace {
+constexpr Micros kRedirectMemory = 15 * kSecond;
+constexpr Micros kRelayFor = 20 * kSecond;
+constexpr Micros kLapseSlack = 2 * kSecond;
+constexpr size_t kMaxUnknown = 10000;  // machines; bounded, as anyone may report
+}  // namespace
+
+void Core::AnswerReport(const ReportSource& source, int status, std::string body) {
+  if (source.peer.empty()) {
+    Answer(source.request, status, std::move(body));
+  } else {
+    out_.peers.push_back({source.peer, mesh::RelayReply{source.relay, static_cast<uint64_t>(status),
+                                                        std::move(body)}});
+  }
+}
+
+void Core::OnReport(Micros now, const ReportSource& source, const std::string& body) {
+  ++counters_.reports;
+  std::optional<Report> report = wire::DecodeReport(body);
+  if (!report) {
+    AnswerReport(source, 400, wire::EncodeError("malformed report"));
+    return;
+  }
+  if (!synced_ && !cancellations_.ReplicaWasComplete()) {
+    AnswerReport(source, 503, wire::EncodeError("not ready"));
+    return;
+  }
+  const int shard_id = ShardOfMachine(report->machine);
+  if (shard_id < 0) {
+    OnUnassignedReport(now, source, *report, body);
+    return;
+  }
+  const Shard& shard = ShardAt(shard_id);
+  const bool superseded = shard.rival_epoch > shard.epoch;
+  if (shard.epoch != 0 && !superseded) {
+    AnswerAsLeader(now, source, shard_id, *report);
+  } else if (MayRenewOnBehalf(now, shard_id, *report)) {
+    RenewOnBehalf(source, *report);
+  } else {
+    PassOnReport(now, source, shard_id, *report, body);
+  }
+}
+
+void Core::OnUnassignedReport(Micros now, const ReportSource& source, const Report& report,
+                              const std::string& body) {
+  const int shard_id = static_cast<int>(StableHash(report.machine) % shards_.size());
+  // Kept by every node: the one that rented it may learn its name any moment.
+  if (unknown_.size() < kMaxUnknown || unknown_.count(report.machine) != 0) {
+    unknown_[report.machine] = report;
+  }
+  stray_since_.try_emplace(report.machine, now);
+  if (ShardAt(shard_id).is_leader) {
+    MarkDirty(shard_id);
+    AnswerReport(source, 503, wire::EncodeError("not adopted yet"));
+  } else {
+    PassOnReport(now, source, shard_id, report, body);
+  }
+}
+
+void Core::PassOnReport(Micros now, const ReportSource& source, int shard_id, const Report& report,
+                        const std::string& body) {
+  std::string leader = LeaderLabel(shard_id);
+  if (leader == settings_.label) leader.clear();
+  if (!source.peer.empty() || leader.empty()) {
+    ++counters_.redirects;
+    AnswerReport(source, leader.empty() ? 503 : 421, wire::EncodeReportTo(leader));
+    return;
+  }
+  MachineInfo& info = machines_[report.machine];
+  if (NeedsRelay(now, leader, &info)) {
+    ++counters_.relays;
+    const uint64_t relay = next_relay_++;
+    relays_[relay] = {source.request, now};
+    out_.peers.push_back({leader, mesh::Relay{relay, body}});
+    return;
+  }
+  info.redirected_at = now;
+  info.redirected_to = leader;
+  ++counters_.redirects;
+  AnswerReport(source, 421, wire::EncodeReportTo(leader));
+}
+
+// A worker that is back soon after a redirect cannot reach its leader; we may.
+bool Core::NeedsRelay(Micros now, const std::string& leader, MachineInfo* info) const {
+  const bool came_back = info->redirected_to == leader &&
+                         now - info->redirected_at < kRedirectMemory &&
+                         now - info->redirected_at > kSecond;
+  auto peer = peers_.find(leader);
+  const bool reachable = peer != peers_.end() && now - peer->second.heard < 2 * kSecond;
+  if (came_back && reachable) info->relay_until = now + kRelayFor;
+  return now < info->relay_until && reachable;
+}
+
+bool Core::MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const {
+  const Shard& shard = ShardAt(shard_id);
+  // A start of the leader may be under way under the same token, sent without knowing what
+  // we learn soon after: until its leader would have given up on it and fenced it.
+  if (StateFresh(now) || !cancellations_.MayRenewLeases(now + kCommandTimeout)) return false;
+  const uint64_t epoch = std::max(shard.leadership_version, shard.rival_epoch);
+  if (epoch == 0 || report.token < TokenForEpoch(epoch)) return false;
+  const std::string leader = LeaderLabel(shard_id);
+  if (leader.empty() || leader == settings_.label) return false;
+  auto peer = peers_.find(leader);
+  if (peer == peers_.end()) return false;
+  // A leader that lives and knows that it is one answers for itself.
+  const bool gone = now - peer->second.heard > 1500 * kMilli ||
+                    peer->second.holds.count(static_cast<uint64_t>(shard_id)) == 0;
+  if (!gone) return false;
+  // Nor may a peer that reaches the state service be about to take over.
+  for (const auto& [label, other] : peers_) {
+    if (now - other.heard < 1500 * kMilli && other.state_age < kSecond) return false;
+  }
+  return true;
+}
+
+// The token is the worker's own: an equal one is accepted from any node, and
+// whoever leads the shard later has a higher one. Nothing is started; what
+// was cancelled ends.
+void Core::RenewOnBehalf(const ReportSource& source, const Report& report) {
+  ++counters_.renewed_on_behalf;
+  AnswerReport(source, 200, wire::EncodeReportReply(report.token, StopsOfOver(report)));
+}
+
+void Core::AnswerAsLeader(Micros now, const ReportSource& source, int shard_id,
+                          const Report& report) {
+  const Shard& shard = ShardAt(shard_id);
+  auto machine = shard.assignments.machines.find(report.machine);
+  if (machine == shard.assignments.machines.end()) {
+    AnswerReport(source, 503, wire::EncodeError("not adopted yet"));
+    return;
+  }
+  MachineInfo& info = machines_[report.machine];
+  const uint64_t token = TokenOf(shard_id, info);
+  if (report.token > token) {
+    // Somebody is entitled who knows more than we do.
+    ++counters_.redirects;
+    AnswerReport(source, 421, wire::EncodeReportTo(""));
+    return;
+  }
+  if (!cancellations_.MayRenewLeases(now)) {
+    AnswerReport(source, 503, wire::EncodeError("cut off from the state service"));
+    return;
+  }
+  std::vector<Command> orders;
+  if (ProcessReport(now, shard_id, machine->second, report, false)) {
+    orders = MakeOrders(now, shard_id, machine->second, report);
+    // Nothing is started before the worker saw our token; do not wait for its
+    // next report to learn that it did.
+    if (report.token < info.required_token) Push(now, shard_id, report.machine);
+  } else if (report.session != info.session) {
+    // Late, from a session that is over.
+    AnswerReport(source, 503, wire::EncodeError("old session"));
+    return;
+  } else {
+    // A report that a direct answer overtook. Without its stops the answer would renew the
+    // lease of a task that is cancelled, and the machine may hang right after it.
+    orders = StopsOfOver(report);
+  }
+  NoteAnswer(now, &info, orders);
+  AnswerReport(source, 200, wire::EncodeReportReply(token, orders));
+}
+
+std::vector<Command> Core::StopsOfOver(const Report& report) const {
+  std::vector<Command> stops;
+  for (const TaskReport& task : report.tasks) {
+    if (task.state != TaskState::kExited && JobOver(task.job)) {
+      stops.push_back({Command::Op::kStop, task.job, task.task, task.attempt, 0});
+    }
+  }
+  return stops;
+}
+
+void Core::NoteAnswer(Micros now, MachineInfo* info, const std::vector<Command>& orders) {
+  info->answered_at = now;
+  info->ordered.clear();
+  for (const Command& order : orders) {
+    if (order.op != Command::Op::kStop) {
+      info->ordered.push_back({order.job, order.task, order.attempt});
+    }
+  }
+}
+
+// A machine whose reports arrive while answers and commands do not reach it looks
+// alive and does nothing. It gets no more work once the orders of two answers had
+// no effect, or once its lease ended although we had just answered it. Then it is
+// asked directly: an answer clears it, and without one it goes back.
+void Core::CheckAnswersTakeEffect(Micros now, int shard_id, MachineInfo* info, const Report& report,
+                                  bool new_session) {
+  if (new_session) {
+    CheckAnswerKeptLease(now, shard_id, info, report);
+    return;
+  }
+  if (info->ordered.empty()) return;
+  const bool any_done =
+      std::any_of(info->ordered.begin(), info->ordered.end(),
+                  [&](const Attempt& attempt) { return OrderTookEffect(attempt, report); });
+  info->ignored_answers = any_done ? 0 : info->ignored_answers + 1;
+  if (any_done) info->lease_losses = 0;
+  if (info->ignored_answers >= kMaxIgnoredAnswers) info->probe = true;
+  info->ordered.clear();
+}
+
+void Core::CheckAnswerKeptLease(Micros now, int shard_id, MachineInfo* info, const Report& report) {
+  const bool answered =
+      info->answered_at != 0 && now - info->answered_at < Shortest(settings_.lease) - kLapseSlack;
+  info->answered_at = 0;
+  info->ordered.clear();
+  if (!answered) return;
+  ++counters_.unresponsive;
+  ++info->lease_losses;
+  info->ignored_answers = std::max(info->ignored_answers, kMaxIgnoredAnswers);
+  info->probe = true;
+  info->no_direct_before = std::min(info->no_direct_before, now);
+  if (info->lease_losses < 2 && info->direct_failures == 0) return;
+  info->give_up = true;
+  Log(LogLine::Level::kInfo, "giving up " + report.machine + ": it does not hear us");
+  MarkDirty(shard_id);
+}
+
+bool Core::OrderTookEffect(const Attempt& attempt, const Report& report) const {
+  bool there = false, ended = false;
+  for (const TaskReport& task : report.tasks) {
+    if (task.job != attempt.job || task.task != attempt.task || task.attempt != attempt.number) {
+      continue;
+    }
+    there = true;
+    ended = task.state == TaskState::kExited;
+  }
+  // A start shows by the task, a reap by its absence.
+  auto known = attempts_.find(attempt);
+  const bool was_start = known != attempts_.end() && !known->second.gone;
+  return was_start ? there : !there || !ended;
+}
+
+}  // namespace troutlink
--- /dev/null
+++ b/src/core/worker_state.cc
@@ -0,0 +1,202 @@
+// What a report proves: which tasks run, have ended, or are gone.
+#include <algorithm>
+
+#include "core/core.h"
+
+namespace troutlink {
+
+bool Core::JobOver(const std::string& job) const {
+  const JobEntry* entry = FindJob(job);
+  return entry == nullptr || entry->record.state != JobState::kOpen || cancellations_.Reported(job);
+}
+
+bool Core::ProcessReport(Micros now, int shard_id, const AssignedMachine& machine,
+                         const Report& report, bool direct) {
+  MachineInfo& info = machines_[machine.name];
+  const bool first = info.session == 0;
+  if (!first && (report.session < info.session ||
+                 (report.session == info.session && report.seq <= info.seq))) {
+    // Nor does it show that the machine lives: copies of reports come late.
+    return false;
+  }
+  const bool new_session = !first && report.session > info.session;
+  // Most reports change nothing that a round would look at.
+  bool changed = first || new_session || now - info.heard > 2 * settings_.report ||
+                 info.token_seen < info.required_token;
+  if (!direct) {
+    CheckAnswersTakeEffect(now, shard_id, &info, report, new_session);
+  } else {
+    info.ignored_answers = info.lease_losses = 0;  // it answered
+    info.ordered.clear();
+  }
+  NoteReport(now, shard_id, report, direct, &info);
+  // An absence is a proof only once commands of earlier leaders, and commands
+  // of ours without an answer, can no longer run: the worker saw a token above
+  // theirs.
+  const Evidence evidence{report, new_session, direct, report.token >= info.required_token};
+  std::map<Attempt, const TaskReport*> reported;
+  for (const TaskReport& task : report.tasks) reported[{task.job, task.task, task.attempt}] = &task;
+  for (const Attempt& attempt : machine.attempts) {
+    AttemptInfo* known = FindAttempt(attempt);
+    if (known == nullptr || known->gone) continue;
+    auto task = reported.find(attempt);
+    if (task != reported.end()) {
+      changed = changed || known->state != task->second->state;
+      TaskReported(now, shard_id, machine, attempt, known, report.session, *task->second);
+    } else if (ProvesAbsence(evidence, attempt, *known)) {
+      MarkGone(shard_id, attempt, known);
+    }
+  }
+  if (changed) MarkDirty(shard_id);
+  return true;
+}
+
+void Core::NoteReport(Micros now, int shard_id, const Report& report, bool direct,
+                      MachineInfo* info) {
+  info->session = report.session;
+  info->seq = report.seq;
+  info->token_seen = std::max(info->token_seen, report.token);
+  info->heard = now;
+  info->reported_silent_since = 0;
+  if (direct || info->ignored_answers == 0) info->probe = false;
+  if (info->first_heard == 0) {
+    // It has just booted: what failed before then says nothing.
+    info->first_heard = now;
+    info->no_direct_before = 0;
+    info->direct_failures = 0;
+  }
+  if (!report.addr.empty()) info->addr = report.addr;
+  if (report.notice) {
+    if (info->notice_end == 0) MarkDirty(shard_id);
+    info->notice_end = now + *report.notice;
+  }
+  info->tasks = report.tasks;
+}
+
+void Core::TaskReported(Micros now, int shard_id, const AssignedMachine& machine,
+                        const Attempt& attempt, AttemptInfo* known, uint64_t session,
+                        const TaskReport& task) {
+  if (!known->seen) {
+    known->seen = true;
+    if (known->session == 0) known->session = session;
+  }
+  if (task.state == TaskState::kRunning && known->running_at == 0) {
+    known->running_at = now;
+    Log(LogLine::Level::kDebug, "running " + attempt.job + "/" + std::to_string(attempt.task) +
+                                    " on " + machine.name + " after " +
+                                    std::to_string((now - known->placed_at) / kMilli) + " ms");
+  }
+  known->state = task.state;
+  const JobEntry* job = FindJob(attempt.job);
+  if (task.state != TaskState::kFetching && job != nullptr && !job->record.spec.image.empty()) {
+    NoteImageUse(&machines_[machine.name], machine.type, job->record.spec.image,
+                 job->record.spec.image_gb, now);
+  }
+  if (task.state == TaskState::kExited) TaskExited(now, shard_id, machine, attempt, known, task);
+}
+
+bool Core::ProvesAbsence(const Evidence& evidence, const Attempt& attempt,
+                         const AttemptInfo& known) const {
+  // A new session begins without tasks.
+  const Report& report = evidence.report;
+  if (evidence.new_session && known.session != 0 && known.session < report.session) return true;
+  if (evidence.direct || known.direct || !evidence.clean) return false;
+  // It was there, or it was inherited and never started.
+  if (known.seen || !known.fresh) return true;
+  // Decided but never started, and no longer wanted. A start in a reply to
+  // an earlier report was taken or dropped before this report was made.
+  return (JobOver(attempt.job) || known.stopping) &&
+         (known.reply_seq == 0 || known.reply_seq < report.seq);
+}
+
+void Core::MarkGone(int shard_id, const Attempt& attempt, AttemptInfo* known) {
+  if (known->gone) return;
+  known->gone = true;
+  ++counters_.gone;
+  ShardAt(shard_id).cleanup = true;
+  MarkDirty(shard_id);
+  auto found = runs_.find(attempt.job);
+  if (found == runs_.end()) return;
+  JobRun& run = found->second;
+  const auto task = static_cast<size_t>(attempt.task);
+  if (task >= run.tasks.size() || run.tasks[task] != kPlaced) return;
+  // An assignment table that is changed a few chunks at a time may still name an attempt that
+  // is gone when the next one of its task is on record already. Whoever takes the
+  // shard over inherits both: the end of one frees the task only without the other.
+  for (auto it = attempts_.lower_bound({attempt.job, attempt.task, 0});
+       it != attempts_.end() && it->first.job == attempt.job && it->first.task == attempt.task;
+       ++it) {
+    if (!it->second.gone) return;
+  }
+  run.tasks[task] = kWaiting;
+  --run.placed;
+  run.hint = std::min(run.hint, attempt.task);
+}
+
+void Core::TaskExited(Micros now, int shard_id, const AssignedMachine& machine,
+                      const Attempt& attempt, AttemptInfo* known, const TaskReport& task) {
+  MarkGone(shard_id, attempt, known);
+  MachineInfo& info = machines_[machine.name];
+  // A copy of the direct command that started it may arrive at any later time, and after
+  // the reap it would start the task once more: where that matters the worker sees a
+  // higher token first. What is done only exits as done again.
+  if (task.why != ExitReason::kDone && known->start_token != 0 &&
+      info.token_seen <= known->start_token) {
+    RaiseFencingToken(shard_id, &info, known->start_token);
+  }
+  switch (task.why) {
+    case ExitReason::kDone:
+      health_.Succeeded(machine.name, attempt.job);
+      TaskDone(now, shard_id, attempt, known->running_at);
+      break;
+    case ExitReason::kError:
+    case ExitReason::kUnknown:
+      if (!JobOver(attempt.job)) health_.Failed(now, machine.name, attempt.job);
+      Log(LogLine::Level::kDebug,
+          "failed: " + attempt.job + "/" + std::to_string(attempt.task) + " on " + machine.name);
+      break;
+    case ExitReason::kNoRoom: info.avoid_until = now + 3 * kSecond; break;
+    case ExitReason::kPeers:
+    case ExitReason::kStopped:
+    case ExitReason::kBusy:
+    case ExitReason::kNone: break;
+  }
+}
+
+void Core::TaskDone(Micros now, int shard_id, const Attempt& attempt, Micros running_at) {
+  auto found = runs_.find(attempt.job);
+  const JobEntry* job = FindJob(attempt.job);
+  if (found == runs_.end() || job == nullptr) return;
+  JobRun& run = found->second;
+  const auto task = static_cast<size_t>(attempt.task);
+  if (job->record.spec.kind == JobKind::kService || task >= run.tasks.size() ||
+      run.tasks[task] == kDone) {
+    return;
+  }
+  if (run.tasks[task] == kPlaced) --run.placed;  // another attempt of it is on record
+  run.tasks[task] = kDone;
+  ++run.done;
+  if (running_at != 0) run.durations.push_back(now - running_at);
+  ShardAt(shard_id).progress_dirty = true;
+}
+
+void Core::NoteImageUse(MachineInfo* info, const std::string& type_name, const std::string& image,
+                        double gb, Micros now) {
+  info->images[image] = now;
+  info->image_gb[image] = gb;
+  const MachineType* type = TypeOf(type_name);
+  if (type == nullptr) return;
+  // The machine keeps the most recently used ones: forget what no longer fits.
+  while (info->images.size() > 1) {
+    double sum = 0;
+    for (const auto& [name, size] : info->image_gb) sum += size;
+    if (sum <= type->cache_gb) break;
+    auto oldest =
+        std::min_element(info->images.begin(), info->images.end(),
+                         [](const auto& a, const auto& b) { return a.second < b.second; });
+    info->image_gb.erase(oldest->first);
+    info->images.erase(oldest);
+  }
+}
+
+}  // namespace troutlink
