--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -143,28 +143,6 @@
   return Flush();
 }
 
-// A user's request, from here or from a peer.
-void Core::Route(Micros now, const Request& request) {
-  std::string_view target = request.target;
-  target = target.substr(0, target.find('?'));
-  std::optional<wire::JobPath> path = wire::ParseJobPath(target);
-  if (!path) {
-    Submit(now, request);
-    return;
-  }
-  Query query;
-  query.kind = path->abort ? Query::Kind::kAbort : Query::Kind::kPoll;
-  query.request = request.id;
-  query.id = path->id;
-  query.since = now;
-  ++(path->abort ? counters_.aborts : counters_.polls);
-  if (path->abort) {
-    Abort(now, std::move(query));
-  } else {
-    Poll(now, std::move(query));
-  }
-}
-
 Outbox Core::HandleAnswer(Micros now, uint64_t call, int status, const std::string& body) {
   auto it = pending_.find(call);
   if (it != pending_.end()) {
@@ -178,8 +156,7 @@
 }
 
 Outbox Core::HandlePeer(Micros now, const std::string& from, const mesh::Message& message) {
-  auto peer = peers_.find(from);
-  if (peer == peers_.end()) return Flush();
+  if (peers_.count(from) == 0) return Flush();
   if (const auto* ping = std::get_if<mesh::Ping>(&message)) {
     HandlePing(now, from, *ping);
   } else if (const auto* pong = std::get_if<mesh::Pong>(&message)) {
@@ -187,39 +164,12 @@
     cancellations_.PongReceived(from, *pong);
   } else if (const auto* relay = std::get_if<mesh::Relay>(&message)) {
     OnReport(now, {0, from, relay->id}, relay->body);
-  } else if (const auto* reply = std::get_if<mesh::RelayReply>(&message)) {
-    auto it = relays_.find(reply->id);
-    if (it != relays_.end()) {
-      Answer(it->second.first, static_cast<int>(reply->status), reply->body);
-      relays_.erase(it);
-    }
+  } else if (const auto* relay_reply = std::get_if<mesh::RelayReply>(&message)) {
+    HandleRelayReply(*relay_reply);
   } else if (const auto* forward = std::get_if<mesh::Forward>(&message)) {
-    uint64_t id = next_foreign_++;
-    if (foreign_.size() < 1000) {
-      foreign_[id] = {from, forward->id};
-      Route(now, {id, forward->method, forward->target, forward->body});
-    }
-  } else if (const auto* answer = std::get_if<mesh::ForwardReply>(&message)) {
-    auto it = forwards_.find(answer->id);
-    if (it != forwards_.end()) {
-      uint64_t request = it->second;
-      forwards_.erase(it);
-      auto open = open_.find(request);
-      if (open != open_.end()) {
-        open->second.forward = 0;
-        if (answer->status < 429) {
-          // What we tell a user we act on as well, even if the peer ends before it
-          // tells us as one of its cancels.
-          std::optional<JobStatus> status;
-          if (answer->status == 200) status = wire::DecodeJobStatus(answer->body);
-          if (status && status->state == "cancelled") LearnCancellation(now, status->id);
-          Answer(request, static_cast<int>(answer->status), answer->body);
-        } else if (open->second.refused) {
-          Reply refusal = open->second.refusal;
-          Answer(request, refusal.status, refusal.body, refusal.retry_after_s);
-        }
-      }
-    }
+    HandleForward(now, from, *forward);
+  } else if (const auto* forward_reply = std::get_if<mesh::ForwardReply>(&message)) {
+    HandleForwardReply(now, *forward_reply);
   }
   After(now);
   return Flush();
@@ -259,14 +209,7 @@
   if (synced_) RunElections(now);
   ShareLimits(now);
   RunCloud(now);
-  for (auto it = relays_.begin(); it != relays_.end();) {
-    if (now - it->second.second > 3 * kSecond) {
-      Answer(it->second.first, 503, wire::EncodeError("leader does not answer"));
-      it = relays_.erase(it);
-    } else {
-      ++it;
-    }
-  }
+  EndStaleRelays(now);
   now_ = now;
   RunForwards(now);
   After(now);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -200,7 +200,7 @@
   bool StateFresh(Micros now) const { return now - state_ok_ < 1500 * kMilli; }
   bool Up(Micros now) const;
 
-  // --- acceptance (acceptance.cc) ---------------------------------------------
+  // --- users' API (submissions.cc, queries.cc, forwarding.cc) ----------------------
   struct Query {
     enum class Kind { kPoll, kSubmit, kAbort } kind = Kind::kPoll;
     uint64_t request = 0;
@@ -220,18 +220,40 @@
     bool refused = false;  // our own answer, kept while the peer works
     Reply refusal;
   };
-  void Route(Micros now, const Request& request);
+  // A call to the state service that a user waits for.
+  static constexpr Micros kUserCallTimeout = 1500 * kMilli;
+  static constexpr int kRetryAfter = 1;        // seconds
+  static constexpr uint64_t kRetrySpread = 4;  // seconds
+  // A request of a user of ours.
   void UserRequest(Micros now, const Request& request);
+  // A user's request, from here or from a peer.
+  void Route(Micros now, const Request& request);
   bool ForwardRequest(Micros now, OpenRequest* open);
   void RunForwards(Micros now);
-  std::string FreshSibling(Micros now) const;
+  // The last answer to a request that nobody is at work on any more.
+  void EndRequest(uint64_t id);
+  void HandleForward(Micros now, const std::string& from, const mesh::Forward& forward);
+  void HandleForwardReply(Micros now, const mesh::ForwardReply& answer);
+  // The peer that heard from the state service last; empty: none did lately.
+  std::string FreshPeer(Micros now) const;
   void Submit(Micros now, const Request& request);
+  void StoreJob(Micros now, const Query& query, JobSpec spec);
+  // Empty: it can run.
+  std::string NeverRuns(const JobSpec& spec) const;
+  static int SpreadRetry(const std::string& id);
   void Poll(Micros now, Query query);
   void RunQueries(Micros now);
+  void OnQueriesChecked(Micros now, const std::vector<Query>& batch, int status,
+                        const std::string& body);
   void AnswerQuery(Micros now, const Query& query);
   void Abort(Micros now, Query query);
+  void OnCancelCommitted(Micros now, const Query& query, const StateWrite& write, int status,
+                         const std::string& body);
+  // Reads a job's record again, as the replica's turned out to be old.
   void FetchJob(Micros now, const std::string& id);
   JobStatus StatusOf(const std::string& id, const JobEntry& entry) const;
+
+  // --- choice of a shard for a job (shard_choice.cc) -------------------------------
   struct Room {
     double free = 0;     // cpus
     double size = 0;     // cpus, without those of critical work
@@ -243,16 +265,26 @@
     int ready_soon = 0;  // and with what makes way for it
     bool owned = false;  // by a node that lives
   };
+  // What each shard has for a job: where its tasks could start now, given their
+  // zones, and free cpus less what already waits there and comes first.
   std::vector<Room> RoomsFor(const JobSpec& spec);
+  // Adds what one machine has; the spreads say where tasks of the job would be by then.
+  void AddRoom(const JobSpec& spec, const MachineUse& use, Room* room, JobSpread* spread,
+               JobSpread* ready_spread) const;
+  // The same for replicas that need not wait for their image. `rest` is free, `left` with
+  // what makes way.
+  static void AddReadyRoom(const JobSpec& spec, Amount rest, const Amount& left,
+                           const PlaceMachine& probe, Room* room, JobSpread* spread);
+  bool HasImage(const MachineUse& use, const std::string& image) const;
   // Cpus that wait in each shard for work of at least each priority.
   using Waits = std::vector<std::array<int64_t, 4>>;
   const Waits& WaitingCpus();
+  void AddWaiting(int shard_id, const JobSpec& spec, int64_t tasks);
+  int64_t WaitingTasks(const std::string& id, const JobRecord& record) const;
   int ShardForJob(const JobSpec& spec);
-  // Empty: it can run.
-  std::string NeverRuns(const JobSpec& spec) const;
+  static double ScoreOf(const JobSpec& spec, const Room& room, double mean_size);
 
-  // --- workers (reports.cc, worker_state.cc, commands.cc)
-  // ----------------------------------------------------
+  // --- workers (reports.cc, worker_state.cc, commands.cc) ---------------------------
   struct AttemptInfo {
     std::string machine;
     int shard_id = 0;
@@ -333,6 +365,8 @@
   void PassOnReport(Micros now, const ReportSource& source, int shard_id, const Report& report,
                     const std::string& body);
   bool NeedsRelay(Micros now, const std::string& leader, MachineInfo* info) const;
+  void HandleRelayReply(const mesh::RelayReply& reply);
+  void EndStaleRelays(Micros now);
   // Whether to keep the leases of a shard's workers alive for a leader that ended
   // while nobody can reach the state service to take its place.
   bool MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const;
@@ -556,7 +590,7 @@
   Micros next_cached_images_ = 0;
   CancellationLog cancellations_;
 
-  // Acceptance.
+  // Users' API.
   std::map<uint64_t, OpenRequest> open_;
   std::map<uint64_t, uint64_t> forwards_;                         // forward id -> request
   std::map<uint64_t, std::pair<std::string, uint64_t>> foreign_;  // request -> peer, its id
--- /dev/null
+++ b/src/core/queries.cc
@@ -0,0 +1,197 @@
+// Users' API: polls and cancellations.
+//
+// Nothing is told to a user that is not committed, and nothing is told that
+// may be older than what another node told: answers about unfinished jobs are
+// checked with the state service, many in one transaction that only compares.
+#include <algorithm>
+
+#include "core/core.h"
+
+namespace troutlink {
+
+namespace {
+constexpr Micros kQueryPatience = 1500 * kMilli;
+constexpr size_t kMaxQueries = 2000;
+constexpr double kQueryReserve = 8;  // requests that a question leaves to the rest
+constexpr int kMaxCancelTries = 4;
+
+std::string_view StateName(JobState state) {
+  return state == JobState::kDone ? "done" : "cancelled";
+}
+}  // namespace
+
+void Core::Poll(Micros now, Query query) {
+  const JobEntry* entry = FindJob(query.id);
+  // Final states never change, so a copy of one is as good as the original.
+  if (entry != nullptr && entry->record.state != JobState::kOpen) {
+    AnswerQuery(now, query);
+    return;
+  }
+  if (!synced_ || queries_.size() >= kMaxQueries) {
+    Answer(query.request, 503, wire::EncodeError("not ready"),
+           synced_ ? SpreadRetry(query.id) : kRetryAfter);
+    return;
+  }
+  queries_.push_back(std::move(query));
+}
+
+void Core::RunQueries(Micros now) {
+  // Those that waited too long get their final answer.
+  while (!queries_.empty() && now - queries_.front().since > kQueryPatience) {
+    Answer(queries_.front().request, 503, wire::EncodeError("state service does not answer"),
+           kRetryAfter);
+    queries_.pop_front();
+  }
+  if (query_busy_ || queries_.empty() || now < query_not_before_) return;
+  // Questions have what all other requests leave of the limit: in a storm of polls the
+  // state service once refused commits, watches and renewals of leases.
+  if (!state_budget_.Has(now, kQueryReserve)) return;
+  std::map<std::string, uint64_t> versions;
+  std::vector<Query> batch;
+  const size_t most = static_cast<size_t>(4 * settings_.txn_ops);
+  while (!queries_.empty() && versions.size() < most) {
+    Query query = std::move(queries_.front());
+    queries_.pop_front();
+    const JobEntry* entry = FindJob(query.id);
+    versions[query.id] = entry == nullptr ? 0 : entry->version;
+    batch.push_back(std::move(query));
+  }
+  StateTxn txn;
+  for (const auto& [id, version] : versions) txn.conditions.emplace_back(JobKey(id), version);
+  query_busy_ = true;
+  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
+       [this, batch](Micros answered, int status, const std::string& body) {
+         OnQueriesChecked(answered, batch, status, body);
+       });
+}
+
+void Core::OnQueriesChecked(Micros now, const std::vector<Query>& batch, int status,
+                            const std::string& body) {
+  query_busy_ = false;
+  std::optional<wire::TxnReply> reply;
+  if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
+  if (!reply) {
+    query_not_before_ = now + 50 * kMilli;
+    for (const Query& query : batch) {
+      Answer(query.request, 503, wire::EncodeError("state service does not answer"), kRetryAfter);
+    }
+    return;
+  }
+  state_ok_ = now;
+  std::set<std::string> stale;
+  for (const std::string& key : reply->failed) stale.insert(ParseKey(key).id);
+  for (const std::string& id : stale) FetchJob(now, id);
+  for (const Query& query : batch) {
+    // A failed transaction proves nothing of the keys it does not name.
+    if (status == 409 && (stale.empty() || stale.count(query.id) != 0)) {
+      queries_.push_back(query);
+    } else {
+      AnswerQuery(now, query);
+    }
+  }
+}
+
+void Core::FetchJob(Micros now, const std::string& id) {
+  if (!state_budget_.Has(now, 1)) return;
+  // One key is a list that begins just before it; ids differ in their digits,
+  // so the prefix may hold longer ones too.
+  Send(Dest::kState, "", "GET", wire::ListTarget(JobKey(id), "", 1), "", kUserCallTimeout,
+       [this](Micros answered, int status, const std::string& body) {
+         std::optional<wire::StatePage> page;
+         if (status == 200) page = wire::DecodeList(body);
+         if (!page) return;
+         state_ok_ = answered;
+         for (const StateItem& item : page->items) {
+           ApplyPut(answered, item.key, item.value, item.version);
+         }
+       });
+}
+
+JobStatus Core::StatusOf(const std::string& id, const JobEntry& entry) const {
+  JobStatus out;
+  out.id = id;
+  const JobRecord& record = entry.record;
+  if (record.state != JobState::kOpen) {
+    out.state = StateName(record.state);
+    out.done = record.state == JobState::kDone ? record.spec.tasks : 0;
+    return out;
+  }
+  auto run = runs_.find(id);
+  if (run != runs_.end()) {
+    out.done = run->second.done;
+    out.running = run->second.placed;
+  } else if (record.shard_id >= 0 && record.shard_id < settings_.shard_count()) {
+    const Shard& shard = ShardAt(record.shard_id);
+    auto progress = shard.progress.find(id);
+    if (progress != shard.progress.end()) out.done = static_cast<int64_t>(progress->second.size());
+    auto placed = shard.use.jobs.find(id);
+    if (placed != shard.use.jobs.end()) out.running = placed->second;
+  }
+  out.state = out.running > 0 ? "running" : "queued";
+  return out;
+}
+
+void Core::AnswerQuery(Micros now, const Query& query) {
+  const JobEntry* entry = FindJob(query.id);
+  if (entry == nullptr) {
+    Answer(query.request, 404, wire::EncodeError("no such job"));
+    return;
+  }
+  switch (query.kind) {
+    case Query::Kind::kPoll:
+      Answer(query.request, 200, wire::EncodeJobStatus(StatusOf(query.id, *entry)));
+      return;
+    case Query::Kind::kSubmit:
+      Answer(query.request, 200, wire::EncodeJobState(query.id, StatusOf(query.id, *entry).state));
+      return;
+    case Query::Kind::kAbort: Abort(now, query); return;
+  }
+}
+
+void Core::Abort(Micros now, Query query) {
+  const JobEntry* entry = FindJob(query.id);
+  if (entry == nullptr) {
+    Poll(now, std::move(query));  // 404 only once the state service confirms it
+    return;
+  }
+  if (entry->record.state != JobState::kOpen) {
+    Answer(query.request, 200, wire::EncodeJobState(query.id, StateName(entry->record.state)));
+    return;
+  }
+  if (++query.tries > kMaxCancelTries || !StateFresh(now)) {
+    Answer(query.request, 503, wire::EncodeError("not stored"), kRetryAfter);
+    return;
+  }
+  write_budget_.Force(now, 1);
+  JobRecord record = entry->record;
+  record.state = JobState::kCancelled;
+  StateTxn txn;
+  txn.conditions.emplace_back(JobKey(query.id), entry->version);
+  txn.writes.push_back({JobKey(query.id), EncodeJob(record), 0, false});
+  ++counters_.puts;
+  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
+       [this, query, write = txn.writes[0]](Micros answered, int status, const std::string& body) {
+         OnCancelCommitted(answered, query, write, status, body);
+       });
+}
+
+void Core::OnCancelCommitted(Micros now, const Query& query, const StateWrite& write, int status,
+                             const std::string& body) {
+  std::optional<wire::TxnReply> reply;
+  if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
+  if (reply) state_ok_ = now;
+  if (status == 200 && reply) {
+    // Peers must be able to hear of it before the user does.
+    next_heartbeat_ = now;
+    ApplyPut(now, write.key, write.value, reply->revision);
+    Answer(query.request, 200, wire::EncodeJobState(query.id, "cancelled"));
+  } else if (status == 409) {
+    FetchJob(now, query.id);
+    Poll(now, query);
+  } else {
+    if (status == 429) write_budget_.Drain(now);
+    Answer(query.request, 503, wire::EncodeError("not stored"), kRetryAfter);
+  }
+}
+
+}  // namespace troutlink
--- a/src/core/reports.cc
+++ b/src/core/reports.cc
@@ -9,6 +9,7 @@
 namespace {
 constexpr Micros kRedirectMemory = 15 * kSecond;
 constexpr Micros kRelayFor = 20 * kSecond;
+constexpr Micros kRelayPatience = 3 * kSecond;
 constexpr Micros kLapseSlack = 2 * kSecond;
 constexpr size_t kMaxUnknown = 10000;  // machines; bounded, as anyone may report
 }  // namespace
@@ -99,6 +100,24 @@
   return now < info->relay_until && reachable;
 }
 
+void Core::HandleRelayReply(const mesh::RelayReply& reply) {
+  auto relay = relays_.find(reply.id);
+  if (relay == relays_.end()) return;
+  Answer(relay->second.first, static_cast<int>(reply.status), reply.body);
+  relays_.erase(relay);
+}
+
+void Core::EndStaleRelays(Micros now) {
+  for (auto relay = relays_.begin(); relay != relays_.end();) {
+    if (now - relay->second.second > kRelayPatience) {
+      Answer(relay->second.first, 503, wire::EncodeError("leader does not answer"));
+      relay = relays_.erase(relay);
+    } else {
+      ++relay;
+    }
+  }
+}
+
 bool Core::MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const {
   const Shard& shard = ShardAt(shard_id);
   // A start of the leader may be under way under the same token, sent without knowing what
--- /dev/null
+++ b/src/core/submissions.cc
@@ -0,0 +1,104 @@
+// Users' API: submissions. A job is accepted once its record is committed.
+#include <algorithm>
+
+#include "base/ids.h"
+#include "core/core.h"
+
+namespace troutlink {
+
+std::string Core::NeverRuns(const JobSpec& spec) const {
+  const Team* team = FindTeam(spec.team);
+  if (team == nullptr) return "unknown team";
+  const bool fits = std::any_of(types_.begin(), types_.end(), [&](const MachineType& type) {
+    if (!TypeAllowed(spec, type.name, false) || !spec.each.Fits(type.size)) return false;
+    if (spec.zone.empty()) return !type.zones.empty() || settings_.zones.empty();
+    return std::find(type.zones.begin(), type.zones.end(), spec.zone) != type.zones.end();
+  });
+  if (!fits) return "no allowed machine type has room for a task";
+  const int64_t at_once = spec.kind == JobKind::kArray ? 1 : spec.tasks;
+  if ((team->cpus_max > 0 && at_once * spec.each.cpus > team->cpus_max) ||
+      (team->gpus_max > 0 && at_once * spec.each.gpus > team->gpus_max)) {
+    return "more than the team's limit";
+  }
+  return "";
+}
+
+void Core::Submit(Micros now, const Request& request) {
+  ++counters_.submissions;
+  std::string why;
+  std::optional<JobSpec> spec = wire::DecodeSubmission(request.body, &why);
+  if (!spec) {
+    Answer(request.id, 400, wire::EncodeError(why));
+    return;
+  }
+  Query query;
+  query.kind = Query::Kind::kSubmit;
+  query.request = request.id;
+  query.id = spec->id;
+  query.since = now;
+  if (FindJob(spec->id) != nullptr) {
+    Poll(now, std::move(query));
+    return;
+  }
+  // What can never run is told so at once, also in trouble: it needs the types alone.
+  if (!types_.empty()) why = NeverRuns(*spec);
+  if (!why.empty()) {
+    Answer(request.id, 422, wire::EncodeError(why));
+    return;
+  }
+  if (!synced_ || types_.empty() || !StateFresh(now)) {
+    ++counters_.refused;
+    Answer(request.id, 503, wire::EncodeError("not ready"), kRetryAfter);
+    return;
+  }
+  // Acceptance comes before all other writes: it only stops when the node is
+  // deep in debt, and otherwise lets the service itself say that it is too much.
+  if (write_budget_.have() < -settings_.write_rps / 2) {
+    ++counters_.refused;
+    Answer(request.id, 429, wire::EncodeError("too many submissions"), SpreadRetry(spec->id));
+    return;
+  }
+  StoreJob(now, query, std::move(*spec));
+}
+
+// Not all of them back at the same moment.
+int Core::SpreadRetry(const std::string& id) {
+  return kRetryAfter + static_cast<int>(StableHash(id) % kRetrySpread);
+}
+
+void Core::StoreJob(Micros now, const Query& query, JobSpec spec) {
+  write_budget_.Force(now, 1);
+  JobRecord record;
+  record.shard_id = ShardForJob(spec);
+  // The next one of a burst sees this one wait there.
+  AddWaiting(record.shard_id, spec, spec.tasks);
+  record.submitted = WallNow(now);
+  record.spec = std::move(spec);
+  StateTxn txn;
+  txn.conditions.emplace_back(JobKey(query.id), 0);
+  txn.writes.push_back({JobKey(query.id), EncodeJob(record), 0, false});
+  ++counters_.puts;
+  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
+       [this, query, write = txn.writes[0], job_class = record.spec.job_class](
+           Micros answered, int status, const std::string& body) {
+         std::optional<wire::TxnReply> reply;
+         if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
+         if (reply) state_ok_ = answered;
+         if (status == 200 && reply) {
+           ApplyPut(answered, write.key, write.value, reply->revision);
+           ++counters_.accepted;
+           Log(LogLine::Level::kDebug, "accepted " + query.id + " " + job_class);
+           Answer(query.request, 201, wire::EncodeJobState(query.id, "queued"));
+         } else if (status == 409) {
+           // Known already: by a repeat, a late copy or another node.
+           FetchJob(answered, query.id);
+           Poll(answered, query);
+         } else {
+           if (status == 429) write_budget_.Drain(answered);
+           ++counters_.refused;
+           Answer(query.request, 503, wire::EncodeError("not stored"), kRetryAfter);
+         }
+       });
+}
+
+}  // namespace troutlink
