--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -19,6 +19,8 @@
       started_(now),
       wall_offset_(wall - now),
       shards_(static_cast<size_t>(settings.shard_count())),
+      session_lease_(FromSeconds(settings.op.claim_life_s())),
+      cancellations_(settings.cancel, settings.lease),
       health_(static_cast<int>(settings.op.machine_failures()),
               static_cast<int>(settings.op.job_failures())),
       write_budget_(settings.write_rps * kShareOfLimits / settings.shard_count(),
@@ -33,7 +35,10 @@
   next_foreign_ = (uint64_t{1} << 62) | base;
   next_relay_ = base;
   ping_seq_ = base;
-  for (const Sibling& sibling : settings_.siblings) peers_[sibling.label].label = sibling.label;
+  for (const Sibling& sibling : settings_.siblings) {
+    peers_[sibling.label].label = sibling.label;
+    cancellations_.AddPeer(sibling.label);
+  }
 }
 
 uint64_t Core::Send(Dest dest, std::string addr, std::string method, std::string target,
@@ -110,7 +115,7 @@
     return false;
   };
   if (target == wire::kReportPath) {
-    if (only("POST")) OnReport(now, request.id, "", 0, request.body);
+    if (only("POST")) OnReport(now, {request.id, "", 0}, request.body);
   } else if (target == wire::kUpPath) {
     if (only("GET")) {
       if (Up(now)) {
@@ -138,28 +143,6 @@
   return Flush();
 }
 
-// A user's request, from here or from a peer.
-void Core::Route(Micros now, const Request& request) {
-  std::string_view target = request.target;
-  target = target.substr(0, target.find('?'));
-  std::optional<wire::JobPath> path = wire::ParseJobPath(target);
-  if (!path) {
-    Submit(now, request);
-    return;
-  }
-  Query query;
-  query.kind = path->abort ? Query::Kind::kAbort : Query::Kind::kPoll;
-  query.request = request.id;
-  query.id = path->id;
-  query.since = now;
-  ++(path->abort ? counters_.aborts : counters_.polls);
-  if (path->abort) {
-    Abort(now, std::move(query));
-  } else {
-    Poll(now, std::move(query));
-  }
-}
-
 Outbox Core::HandleAnswer(Micros now, uint64_t call, int status, const std::string& body) {
   auto it = pending_.find(call);
   if (it != pending_.end()) {
@@ -173,62 +156,20 @@
 }
 
 Outbox Core::HandlePeer(Micros now, const std::string& from, const mesh::Message& message) {
-  auto peer = peers_.find(from);
-  if (peer == peers_.end()) return Flush();
+  if (peers_.count(from) == 0) return Flush();
   if (const auto* ping = std::get_if<mesh::Ping>(&message)) {
-    HandleHeartbeat(now, from, *ping);
-    mesh::Pong pong;
-    static_cast<mesh::Heartbeat&>(pong) = MakeHeartbeat(now, false, ping->seen);
-    pong.seq = ping->seq;
-    out_.peers.push_back({from, std::move(pong)});
+    HandlePing(now, from, *ping);
   } else if (const auto* pong = std::get_if<mesh::Pong>(&message)) {
-    Peer& peer_state = peer->second;
-    auto sent = peer_state.pings.find(pong->seq);
     HandleHeartbeat(now, from, *pong);
-    if (sent != peer_state.pings.end()) {
-      // It answers for all that its sender, also the process before, can have told until
-      // then: nothing is told that is not stored, and it has read the store and left nothing
-      // out that our replica lacks.
-      if (pong->seen != 0 && pong->cancels_from <= sent->second.seen) {
-        peer_state.cancels_known_at = std::max(peer_state.cancels_known_at, sent->second.at);
-      }
-      peer_state.pings.erase(peer_state.pings.begin(), std::next(sent));
-    }
+    cancellations_.PongReceived(from, *pong);
   } else if (const auto* relay = std::get_if<mesh::Relay>(&message)) {
-    OnReport(now, 0, from, relay->id, relay->body);
-  } else if (const auto* reply = std::get_if<mesh::RelayReply>(&message)) {
-    auto it = relays_.find(reply->id);
-    if (it != relays_.end()) {
-      Answer(it->second.first, static_cast<int>(reply->status), reply->body);
-      relays_.erase(it);
-    }
+    OnReport(now, {0, from, relay->id}, relay->body);
+  } else if (const auto* relay_reply = std::get_if<mesh::RelayReply>(&message)) {
+    HandleRelayReply(*relay_reply);
   } else if (const auto* forward = std::get_if<mesh::Forward>(&message)) {
-    uint64_t id = next_foreign_++;
-    if (foreign_.size() < 1000) {
-      foreign_[id] = {from, forward->id};
-      Route(now, {id, forward->method, forward->target, forward->body});
-    }
-  } else if (const auto* answer = std::get_if<mesh::ForwardReply>(&message)) {
-    auto it = forwards_.find(answer->id);
-    if (it != forwards_.end()) {
-      uint64_t request = it->second;
-      forwards_.erase(it);
-      auto open = open_.find(request);
-      if (open != open_.end()) {
-        open->second.forward = 0;
-        if (answer->status < 429) {
-          // What we tell a user we act on as well, even if the peer ends before it
-          // tells us as one of its cancels.
-          std::optional<JobStatus> status;
-          if (answer->status == 200) status = wire::DecodeJobStatus(answer->body);
-          if (status && status->state == "cancelled") LearnCancellation(now, status->id);
-          Answer(request, static_cast<int>(answer->status), answer->body);
-        } else if (open->second.refused) {
-          Reply refusal = open->second.refusal;
-          Answer(request, refusal.status, refusal.body, refusal.retry_after_s);
-        }
-      }
-    }
+    HandleForward(now, from, *forward);
+  } else if (const auto* forward_reply = std::get_if<mesh::ForwardReply>(&message)) {
+    HandleForwardReply(now, *forward_reply);
   }
   After(now);
   return Flush();
@@ -268,14 +209,7 @@
   if (synced_) RunElections(now);
   ShareLimits(now);
   RunCloud(now);
-  for (auto it = relays_.begin(); it != relays_.end();) {
-    if (now - it->second.second > 3 * kSecond) {
-      Answer(it->second.first, 503, wire::EncodeError("leader does not answer"));
-      it = relays_.erase(it);
-    } else {
-      ++it;
-    }
-  }
+  EndStaleRelays(now);
   now_ = now;
   RunForwards(now);
   After(now);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -15,10 +15,12 @@
 
 #include "config/settings.h"
 #include "core/budget.h"
+#include "core/cancellations.h"
 #include "core/health.h"
 #include "core/io.h"
 #include "core/placement.h"
 #include "core/records.h"
+#include "core/session_lease.h"
 #include "wire/messages.h"
 
 namespace troutlink {
@@ -153,26 +155,52 @@
   void DropFinishedSpec(JobEntry* entry);
   int ShardOfMachine(const std::string& name) const;
 
-  // --- leadership (leadership.cc) ----------------------------------------------
+  Shard& ShardAt(int shard_id) { return shards_[static_cast<size_t>(shard_id)]; }
+  const Shard& ShardAt(int shard_id) const { return shards_[static_cast<size_t>(shard_id)]; }
+
+  // --- heartbeats (heartbeats.cc): what controllers tell each other ----------------
   void Heartbeat(Micros now);
   // `seen`: the receiver's replica holds all up to this revision.
-  mesh::Heartbeat MakeHeartbeat(Micros now, bool ready, uint64_t seen) const;
-  void LearnCancellation(Micros now, const std::string& id);
+  mesh::Heartbeat MakeHeartbeat(Micros now, bool cached_images, uint64_t seen) const;
+  void TellEpochs(mesh::Heartbeat* heartbeat) const;
+  void TellSilentMachines(Micros now, mesh::Heartbeat* heartbeat) const;
+  void TellCachedImages(mesh::Heartbeat* heartbeat) const;
+  // Another leads our own shard, and we are well enough to lead it ourselves.
+  bool WantsOwnShard(Micros now) const;
+  void HandlePing(Micros now, const std::string& from, const mesh::Ping& ping);
   void HandleHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
+  void LearnEpochs(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
+  // A peer tells that the job is cancelled.
+  void LearnCancellation(Micros now, const std::string& id);
+  // Whether the machine is in the assignment table of a shard that is not ours.
+  bool LedByAnother(const std::string& machine) const;
+  void LearnCachedImages(Micros now, const mesh::Heartbeat& heartbeat);
+  void LearnSilentMachines(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
+
+  // --- leadership (leadership.cc) ----------------------------------------------
   void RunLease(Micros now);
+  void GrantLease();
+  void RenewLease();
   void RunElections(Micros now);
+  // The shard has a leadership record: it may be ours and unknown to this process.
+  void ReclaimLeadership(Micros now, int shard_id);
+  // How long a shard must have been without a leader before we take it: the next in the
+  // ring goes first.
+  Micros ElectionDelay(Micros now, int shard_id) const;
   void AcquireLeadership(Micros now, int shard_id);
   void OnElected(Micros now, int shard_id, uint64_t revision);
+  void ForgetDecisions(int shard_id);
+  // What a new leader assumes of the machines of its shard.
+  void InheritMachines(Micros now, int shard_id);
+  static void InheritMachine(uint64_t epoch, const AssignedMachine& machine, MachineInfo* info);
   void LoseLeadership(Micros now, int shard_id, const char* why);
+  void LoseAllLeaderships(Micros now, const char* why);
   void HandBack(Micros now, int shard_id);
   std::string LeaderLabel(int shard_id) const;
-  // Until when reports may be answered: no peer can have accepted a cancel
-  // early enough for its tasks to outlive `cancel` because of us.
-  bool MayRenew(Micros now) const;
   bool StateFresh(Micros now) const { return now - state_ok_ < 1500 * kMilli; }
   bool Up(Micros now) const;
 
-  // --- acceptance (acceptance.cc) ---------------------------------------------
+  // --- users' API (submissions.cc, queries.cc, forwarding.cc) ----------------------
   struct Query {
     enum class Kind { kPoll, kSubmit, kAbort } kind = Kind::kPoll;
     uint64_t request = 0;
@@ -192,18 +220,40 @@
     bool refused = false;  // our own answer, kept while the peer works
     Reply refusal;
   };
-  void Route(Micros now, const Request& request);
+  // A call to the state service that a user waits for.
+  static constexpr Micros kUserCallTimeout = 1500 * kMilli;
+  static constexpr int kRetryAfter = 1;        // seconds
+  static constexpr uint64_t kRetrySpread = 4;  // seconds
+  // A request of a user of ours.
   void UserRequest(Micros now, const Request& request);
+  // A user's request, from here or from a peer.
+  void Route(Micros now, const Request& request);
   bool ForwardRequest(Micros now, OpenRequest* open);
   void RunForwards(Micros now);
-  std::string FreshSibling(Micros now) const;
+  // The last answer to a request that nobody is at work on any more.
+  void EndRequest(uint64_t id);
+  void HandleForward(Micros now, const std::string& from, const mesh::Forward& forward);
+  void HandleForwardReply(Micros now, const mesh::ForwardReply& answer);
+  // The peer that heard from the state service last; empty: none did lately.
+  std::string FreshPeer(Micros now) const;
   void Submit(Micros now, const Request& request);
+  void StoreJob(Micros now, const Query& query, JobSpec spec);
+  // Empty: it can run.
+  std::string NeverRuns(const JobSpec& spec) const;
+  static int SpreadRetry(const std::string& id);
   void Poll(Micros now, Query query);
   void RunQueries(Micros now);
+  void OnQueriesChecked(Micros now, const std::vector<Query>& batch, int status,
+                        const std::string& body);
   void AnswerQuery(Micros now, const Query& query);
   void Abort(Micros now, Query query);
+  void OnCancelCommitted(Micros now, const Query& query, const StateWrite& write, int status,
+                         const std::string& body);
+  // Reads a job's record again, as the replica's turned out to be old.
   void FetchJob(Micros now, const std::string& id);
   JobStatus StatusOf(const std::string& id, const JobEntry& entry) const;
+
+  // --- choice of a shard for a job (shard_choice.cc) -------------------------------
   struct Room {
     double free = 0;     // cpus
     double size = 0;     // cpus, without those of critical work
@@ -215,18 +265,26 @@
     int ready_soon = 0;  // and with what makes way for it
     bool owned = false;  // by a node that lives
   };
+  // What each shard has for a job: where its tasks could start now, given their
+  // zones, and free cpus less what already waits there and comes first.
   std::vector<Room> RoomsFor(const JobSpec& spec);
+  // Adds what one machine has; the spreads say where tasks of the job would be by then.
+  void AddRoom(const JobSpec& spec, const MachineUse& use, Room* room, JobSpread* spread,
+               JobSpread* ready_spread) const;
+  // The same for replicas that need not wait for their image. `rest` is free, `left` with
+  // what makes way.
+  static void AddReadyRoom(const JobSpec& spec, Amount rest, const Amount& left,
+                           const PlaceMachine& probe, Room* room, JobSpread* spread);
+  bool HasImage(const MachineUse& use, const std::string& image) const;
   // Cpus that wait in each shard for work of at least each priority.
   using Waits = std::vector<std::array<int64_t, 4>>;
   const Waits& WaitingCpus();
+  void AddWaiting(int shard_id, const JobSpec& spec, int64_t tasks);
+  int64_t WaitingTasks(const std::string& id, const JobRecord& record) const;
   int ShardForJob(const JobSpec& spec);
-  // Empty: it can run.
-  std::string NeverRuns(const JobSpec& spec) const;
+  static double ScoreOf(const JobSpec& spec, const Room& room, double mean_size);
 
-  // Answers in a row without effect after which a machine gets no more work.
-  static constexpr int kMaxIgnoredAnswers = 2;
-
-  // --- workers (workers.cc) ----------------------------------------------------
+  // --- workers (reports.cc, worker_state.cc, commands.cc) ---------------------------
   struct AttemptInfo {
     std::string machine;
     int shard_id = 0;
@@ -288,28 +346,93 @@
     std::string redirected_to;
     Micros relay_until = 0;
   };
-  void OnReport(Micros now, uint64_t request, const std::string& relay_from, uint64_t relay_id,
-                const std::string& body);
+  // Answers in a row without effect after which a machine gets no more work.
+  static constexpr int kMaxIgnoredAnswers = 2;
+  // How long a direct command may take; then its machine is fenced.
+  static constexpr Micros kCommandTimeout = 2 * kSecond;
+
+  // Where a report came from and its answer goes.
+  struct ReportSource {
+    uint64_t request = 0;  // the worker's, when it came to us
+    std::string peer;      // that relayed it; empty: it came to us
+    uint64_t relay = 0;    // the relay's number at that peer
+  };
+  void OnReport(Micros now, const ReportSource& source, const std::string& body);
+  // Of a machine in no assignment table: it may be adopted soon.
+  void OnUnassignedReport(Micros now, const ReportSource& source, const Report& report,
+                          const std::string& body);
+  // Sends the worker to the leader of its shard, or relays its report to the leader.
+  void PassOnReport(Micros now, const ReportSource& source, int shard_id, const Report& report,
+                    const std::string& body);
+  bool NeedsRelay(Micros now, const std::string& leader, MachineInfo* info) const;
+  void HandleRelayReply(const mesh::RelayReply& reply);
+  void EndStaleRelays(Micros now);
   // Whether to keep the leases of a shard's workers alive for a leader that ended
   // while nobody can reach the state service to take its place.
   bool MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const;
-  void AnswerReport(uint64_t request, const std::string& relay_from, uint64_t relay_id, int status,
-                    std::string body);
+  void RenewOnBehalf(const ReportSource& source, const Report& report);
+  void AnswerAsLeader(Micros now, const ReportSource& source, int shard_id, const Report& report);
+  void AnswerReport(const ReportSource& source, int status, std::string body);
   // Stops of what a report shows of jobs that are over: each answer that renews a lease
   // bears them.
   std::vector<Command> StopsOfOver(const Report& report) const;
   void NoteAnswer(Micros now, MachineInfo* info, const std::vector<Command>& orders);
   void CheckAnswersTakeEffect(Micros now, int shard_id, MachineInfo* info, const Report& report,
                               bool new_session);
+  // A new session began: the lease ended although we may just have renewed it.
+  void CheckAnswerKeptLease(Micros now, int shard_id, MachineInfo* info, const Report& report);
+  // Whether the report shows that the last answer's order for this attempt was carried out.
+  bool OrderTookEffect(const Attempt& attempt, const Report& report) const;
+
+  // What a report's absences may prove.
+  struct Evidence {
+    const Report& report;
+    bool new_session = false;  // it is the first of its session
+    bool direct = false;       // it answers a direct command
+    bool clean = false;        // no command sent before the worker's token can still run
+  };
+  // Learns from a report or from the answer to a direct command. False when it
+  // is not newer than what is known.
   bool ProcessReport(Micros now, int shard_id, const AssignedMachine& machine, const Report& report,
                      bool direct);
+  void NoteReport(Micros now, int shard_id, const Report& report, bool direct, MachineInfo* info);
+  void TaskReported(Micros now, int shard_id, const AssignedMachine& machine,
+                    const Attempt& attempt, AttemptInfo* known, uint64_t session,
+                    const TaskReport& task);
+  // Whether an attempt that a report lacks is gone, and can not begin any more.
+  bool ProvesAbsence(const Evidence& evidence, const Attempt& attempt,
+                     const AttemptInfo& known) const;
+  void TaskExited(Micros now, int shard_id, const AssignedMachine& machine, const Attempt& attempt,
+                  AttemptInfo* known, const TaskReport& task);
+  void TaskDone(Micros now, int shard_id, const Attempt& attempt, Micros running_at);
+  void MarkGone(int shard_id, const Attempt& attempt, AttemptInfo* known);
+
+  AttemptInfo* FindAttempt(const Attempt& attempt);
+  // The orders that answer a report which was taken.
   std::vector<Command> MakeOrders(Micros now, int shard_id, const AssignedMachine& machine,
                                   const Report& report);
-  void TaskExited(Micros now, int shard_id, const AssignedMachine& machine, const Attempt& attempt,
-                  AttemptInfo* info, const TaskReport& task);
-  void MarkGone(int shard_id, const Attempt& attempt, AttemptInfo* info);
+  void OrderForTask(Micros now, int shard_id, const AssignedMachine& machine, bool clean,
+                    const TaskReport& task, std::vector<Command>* orders);
+  void RepeatStarts(const AssignedMachine& machine, const Report& report,
+                    const std::set<Attempt>& reported, std::vector<Command>* orders);
+  // Commands that are sent without waiting for a report.
+  struct DirectCommands {
+    uint64_t epoch = 0;
+    uint64_t token = 0;
+    std::vector<Command> orders;
+    std::vector<Attempt> started, stopped;
+  };
+  // Sends what a machine has to hear now instead of waiting for its next report.
   void Push(Micros now, int shard_id, const std::string& machine);
+  DirectCommands MakeDirectCommands(Micros now, int shard_id, const AssignedMachine& machine,
+                                    const MachineInfo& info);
+  void OnCommandsAnswered(Micros now, int shard_id, const std::string& name,
+                          const DirectCommands& commands, int status, const std::string& body);
+  // Asks a machine for its state: no session is known, or it does not seem to hear us.
   void Probe(Micros now, int shard_id, const std::string& machine);
+  void OnProbeAnswered(Micros now, int shard_id, const std::string& name, int status,
+                       const std::string& body);
+  static void NoteDirectFailure(Micros now, MachineInfo* info);
   // Tokens leave room below each revision for fencing tokens, which so need no commit: no other
   // election or move has the same revision, and all later ones have higher tokens.
   static constexpr int kFencingBits = 20;
@@ -449,8 +572,7 @@
   bool watching_ = false;
   Micros watched_at_ = 0;  // last answer of a watch, or of a whole list
   Micros watch_retry_ = 0;
-  Micros replica_time_ = 0;  // the replica holds every change made before this time
-  Micros state_ok_ = 0;      // last answer of the state service
+  Micros state_ok_ = 0;  // last answer of the state service
   std::unordered_map<std::string, JobEntry> jobs_;
   std::set<std::string> open_jobs_;
   Waits waits_;
@@ -462,22 +584,12 @@
   std::map<std::string, int> machine_shard_;
 
   // Leadership.
-  uint64_t lease_ = 0;
-  bool lease_busy_ = false;
-  Micros lease_sent_ = 0;
-  Micros lease_until_ = 0;  // by our clock, counted from the sending
-  Micros lease_retry_ = 0;
+  SessionLease session_lease_;
   struct Peer {
     std::string label;
-    Micros heard = 0;             // last message
-    Micros cancels_known_at = 0;  // all cancels that it knew then are known to us
-    uint64_t seen = 0;            // its replica holds all up to this revision
-    Micros state_age = 0;         // at `heard`
-    struct Sent {
-      Micros at = 0;
-      uint64_t seen = 0;  // of ours, as the ping told it
-    };
-    std::map<uint64_t, Sent> pings;         // in flight
+    Micros heard = 0;                       // last message
+    uint64_t seen = 0;                      // its replica holds all up to this revision
+    Micros state_age = 0;                   // at `heard`
     std::set<uint64_t> holds;               // shards that it says are its own
     std::set<std::string> silent_machines;  // machines that it missed when it last spoke
   };
@@ -486,11 +598,9 @@
   uint64_t ping_seq_;
   Micros next_heartbeat_ = 0;
   Micros next_cached_images_ = 0;
-  std::map<uint64_t, std::string> cancelled_;  // of the replica, by revision; the newest ones
-  uint64_t cancelled_from_ = 0;                // all of the replica's above this revision
-  std::set<std::string> reported_cancels_;     // from peers, perhaps before the replica
+  CancellationLog cancellations_;
 
-  // Acceptance.
+  // Users' API.
   std::map<uint64_t, OpenRequest> open_;
   std::map<uint64_t, uint64_t> forwards_;                         // forward id -> request
   std::map<uint64_t, std::pair<std::string, uint64_t>> foreign_;  // request -> peer, its id
