--- /dev/null
+++ b/tests/fake_worker.cc
@@ -0,0 +1,133 @@
+#include "fake_worker.h"
+
+#include <algorithm>
+
+#include "wire/messages.h"
+
+namespace troutlink::test {
+
+Report FakeWorker::MakeReport() {
+  Report report;
+  report.machine = name;
+  report.addr = addr;
+  report.type = type;
+  report.zone = zone;
+  report.spot = spot;
+  report.session = session;
+  report.seq = ++seq;
+  report.token = token;
+  for (const auto& [key, task] : tasks) {
+    TaskReport line;
+    line.job = key.first;
+    line.task = key.second;
+    line.attempt = task.attempt;
+    line.state = task.state;
+    line.why = task.why;
+    report.tasks.push_back(line);
+  }
+  return report;
+}
+
+void FakeWorker::Apply(Micros now, const Json& orders) {
+  for (const Json& order : orders) {
+    const std::string piece = order.at("piece").get<std::string>();
+    const std::string verb = order.at("verb").get<std::string>();
+    const uint64_t attempt = order.at("try").get<uint64_t>();
+    const size_t slash = piece.rfind('/');
+    const std::string job = piece.substr(0, slash);
+    const int task_index = std::stoi(piece.substr(slash + 1));
+    auto it = tasks.find({job, task_index});
+    if (verb == "start") {
+      if (it == tasks.end()) StartTask(now, job, task_index, attempt);
+    } else if (it != tasks.end() && it->second.attempt == attempt) {
+      if (verb == "stop" && it->second.state != TaskState::kExited) {
+        it->second.state = TaskState::kExited;
+        it->second.why = ExitReason::kStopped;
+        next_report = now;
+      } else if (verb == "reap" && it->second.state == TaskState::kExited) {
+        tasks.erase(it);
+      }
+    }
+  }
+}
+
+void FakeWorker::StartTask(Micros now, const std::string& job, int task_index, uint64_t attempt) {
+  ++starts;
+  Task task;
+  task.attempt = attempt;
+  if (results != nullptr && results->count({job, task_index}) != 0) {
+    task.state = TaskState::kExited;
+    task.why = ExitReason::kDone;
+  } else if (fetch_time > 0 && !fails_all) {
+    task.state = TaskState::kFetching;
+    task.ends = now + fetch_time;
+  } else {
+    BeginToRun(now, job, task_index, &task);
+    if (fails_all || (mistaken != nullptr && mistaken->count(job) != 0)) {
+      task.state = TaskState::kExited;
+      task.why = ExitReason::kError;
+    }
+  }
+  tasks[{job, task_index}] = task;
+}
+
+void FakeWorker::BeginToRun(Micros now, const std::string& job, int task_index, Task* task) {
+  if (on_start) on_start(job, task_index);
+  const Micros run = run_time.count(job) != 0 ? run_time[job] : 0;
+  task->state = TaskState::kRunning;
+  task->ends = run > 0 ? now + run : 0;
+}
+
+std::pair<int, std::string> FakeWorker::Serve(Micros now, const std::string& target,
+                                              const Json& body) {
+  Advance(now);
+  if (target == "/show") return {200, wire::EncodeReport(MakeReport())};
+  const uint64_t their_token = body.at("baton").get<uint64_t>();
+  if (their_token < token || body.at("shift").get<uint64_t>() != session) {
+    return {409, wire::EncodeReport(MakeReport())};
+  }
+  if (their_token > token) {
+    token = their_token;
+    next_report = std::min(next_report, now + 100 * kMilli);
+  }
+  Apply(now, body.at("orders"));
+  return {200, wire::EncodeReport(MakeReport())};
+}
+
+void FakeWorker::TakeAnswer(Micros now, Micros sent, uint64_t sent_session, const Json& answer) {
+  const uint64_t their_token = answer.value("baton", uint64_t{0});
+  if (dead || silent || their_token < token || sent_session != session) return;
+  if (their_token > token) next_report = std::min(next_report, now + 500 * kMilli);
+  token = their_token;
+  lease_from = std::max(lease_from, sent);
+  Apply(now, answer.at("orders"));
+}
+
+void FakeWorker::Advance(Micros now) {
+  for (auto& [key, task] : tasks) {
+    if (task.state == TaskState::kFetching && now >= task.ends &&
+        now - lease_from <= kWorkerLease) {
+      BeginToRun(now, key.first, key.second, &task);
+    }
+    if (task.state == TaskState::kRunning && task.ends != 0 && now >= task.ends) {
+      task.state = TaskState::kExited;
+      task.why = ExitReason::kDone;
+      if (results != nullptr) results->insert(key);
+      next_report = std::min(next_report, now);
+    }
+  }
+  if (now - lease_from > kWorkerLease) {
+    tasks.clear();
+    ++session;
+    lease_from = now;
+  }
+}
+
+bool FakeWorker::Has(const std::string& job) const {
+  for (const auto& [key, task] : tasks) {
+    if (key.first == job && task.state != TaskState::kExited) return true;
+  }
+  return false;
+}
+
+}  // namespace troutlink::test
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -6,7 +6,7 @@
 namespace troutlink::test {
 namespace {
 
-#define EXPECT_KEPT(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front()
+#define EXPECT_KEPT(w) EXPECT_TRUE((w).broken().empty()) << (w).broken().front()
 
 constexpr int kServices = 20, kReplicas = 20;
 
@@ -19,7 +19,7 @@
 // So many machines, services over them, and arrays beside these.
 struct Fleet : World {
   explicit Fleet(int machines) : World(3, Rates) {
-    capacity = machines;
+    cloud.capacity = machines;
     for (int i = 0; i < machines; ++i) AddWorker("small", i % 4 == 0);
     Run(3 * kSecond);
     for (int j = 0; j < kServices; ++j) {
@@ -118,7 +118,7 @@
 TEST(FleetStories, AThirdGoneForGoodIsReplacedInFewCalls) {
   Fleet w(400);
   const uint64_t calls = w.Sum(&Counters::cloud_calls), starts = w.Sum(&Counters::starts);
-  int rented = w.rentals;
+  int rented = w.cloud.rentals;
   const int gone = w.Some(3, [](FakeWorker* x) { x->silent = true; });
   EXPECT_TRUE(w.AllUp(w.settings.lease + 15 * kSecond));
   w.Run(10 * kSecond);
@@ -127,7 +127,7 @@
   int left = 0;
   for (auto& [n, x] : w.workers) left += x->silent && !x->dead ? 1 : 0;
   EXPECT_EQ(left, 0);
-  EXPECT_LE(w.rentals - rented, gone);
+  EXPECT_LE(w.cloud.rentals - rented, gone);
   EXPECT_LT(w.Sum(&Counters::cloud_calls) - calls, 150u);
   EXPECT_LT(w.Sum(&Counters::starts) - starts, 1400u);
   EXPECT_KEPT(w);
@@ -216,7 +216,7 @@
 
 TEST(FleetStories, ManyReplicasFindRoomAtOnceOnAFullFleet) {
   World w(3, Rates);
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 90; ++i) w.AddWorker("small");
   w.Run(3 * kSecond);
   for (int j = 0; j < 9; ++j) {
@@ -267,7 +267,7 @@
 
 TEST(FleetStories, RepeatsOfWhatWasCarriedOutChangeNothing) {
   Fleet w(100);
-  w.capacity = 100;
+  w.cloud.capacity = 100;
   w.keep_calls = true;
   JobSpec more = World::Array("job-900", 120);
   w.run_time["job-900"] = 30 * kSecond;
@@ -279,9 +279,9 @@
   w.Kill(0);
   w.Run(200 * kMilli);
   w.Start(0);
-  const int rentals = w.rentals;
+  const int rentals = w.cloud.rentals;
   w.RepeatCarried();
-  EXPECT_EQ(w.rentals, rentals);
+  EXPECT_EQ(w.cloud.rentals, rentals);
   w.Run(300 * kMilli);
   w.Kill(1);
   w.Run(150 * kMilli);
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -11,7 +11,7 @@
 namespace troutlink::test {
 namespace {
 
-#define EXPECT_KEPT(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front()
+#define EXPECT_KEPT(w) EXPECT_TRUE((w).broken().empty()) << (w).broken().front()
 
 constexpr Micros kReady = 3 * kSecond;
 
@@ -127,7 +127,7 @@
   w.Run(5 * kSecond);
   EXPECT_EQ(w.OnMachines("job-5"), 0);
   EXPECT_EQ(Status(w, w.leader, "job-5"), "cancelled");
-  EXPECT_EQ(w.starts_after_cancel, 0);
+  EXPECT_EQ(w.rules.starts_after_cancel, 0);
   EXPECT_KEPT(w);
 }
 
@@ -260,7 +260,7 @@
 
 TEST(Meetings, MoreWorkThanRoomOverSlowLinks) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 6; ++i) w.AddWorker("small");
   w.Run(kReady);
   w.state_latency = 600 * kMilli;
@@ -554,7 +554,7 @@
 TEST(Meetings, ACancelledTaskThatWaitsForItsImageDoesNotBegin) {
   for (Micros after = 0; after < 1900 * kMilli; after += 200 * kMilli) {
     World w;
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     for (int i = 0; i < 4; ++i) w.AddWorker("small").fetch_time = 1950 * kMilli;
     w.Run(kReady);
     Accept(w, 0, World::Array("job-7", 8));
@@ -563,14 +563,14 @@
     w.Ask(1, "POST", "/api/jobs/job-7/abort");
     w.Run(5 * kSecond);
     EXPECT_EQ(w.OnMachines("job-7"), 0);
-    EXPECT_EQ(w.starts_after_cancel, 0) << after;
+    EXPECT_EQ(w.rules.starts_after_cancel, 0) << after;
     EXPECT_KEPT(w);
   }
 }
 
 TEST(Meetings, AReportHeldBackUntilANewOwnerActedProvesNothing) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 3; ++i) w.AddWorker("small");
   w.Run(kReady);
   // Reports from before anything ran, which name nothing.
@@ -732,7 +732,7 @@
 
 TEST(Meetings, OldReportsOfEarlierSessionsAndAttemptsChangeNothing) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 3; ++i) w.AddWorker("small");
   w.Run(kReady);
   Accept(w, 0, World::Service("job-5", 12));
@@ -772,7 +772,7 @@
 class Troubles {
  public:
   explicit Troubles(unsigned seed) : rng_(seed) {
-    w_.capacity = 200;
+    w_.cloud.capacity = 200;
     for (int i = 0; i < 8; ++i) {
       FakeWorker& m = w_.AddWorker("small", i % 3 == 0);
       m.zone = i % 2 == 0 ? "z1" : "z2";
@@ -797,7 +797,7 @@
       if (Chance(0.5)) UsersAct();
       if (Chance(0.5) && healing_.size() < 5) Trouble();
       Heal(false);
-      if (!w_.broken.empty()) return;
+      if (!w_.broken().empty()) return;
     }
     Heal(true);
     w_.Run(100 * kSecond);
--- /dev/null
+++ b/tests/rule_checker.cc
@@ -0,0 +1,102 @@
+#include "rule_checker.h"
+
+#include <algorithm>
+#include <map>
+
+namespace troutlink::test {
+namespace {
+
+std::string TaskName(const std::string& job, int task) { return job + "/" + std::to_string(task); }
+
+// `of_job` tasks of the job run, this one not counted; `in_zone` of them in this zone.
+bool IsWrongPlace(const JobSpec& spec, const FakeWorker& on, int of_job, int in_zone) {
+  const bool type_allowed = spec.types.empty() || std::find(spec.types.begin(), spec.types.end(),
+                                                            on.type) != spec.types.end();
+  return (on.spot && !spec.spot) || (!spec.zone.empty() && spec.zone != on.zone) || !type_allowed ||
+         (spec.spread && in_zone + 1 > (spec.tasks + 1) / 2) ||
+         (spec.one_zone && of_job != in_zone);
+}
+
+}  // namespace
+
+RuleChecker::RuleChecker(const Settings& settings, const Users& users, const Workers& workers,
+                         const std::set<std::pair<std::string, int>>& results)
+    : settings_(settings), users_(users), workers_(workers), results_(results) {}
+
+void RuleChecker::Break(const std::string& what) {
+  if (std::find(broken.begin(), broken.end(), what) == broken.end()) broken.push_back(what);
+}
+
+void RuleChecker::OnStart(Micros now, const FakeWorker& on, const std::string& job, int task) {
+  int of_job = 0, in_zone = 0;
+  for (const auto& [name, other] : workers_) {
+    if (other->dead) continue;
+    for (auto it = other->tasks.lower_bound({job, 0});
+         it != other->tasks.end() && it->first.first == job; ++it) {
+      if (it->second.state == TaskState::kExited) continue;
+      if (other.get() != &on && it->first.second == task) Break("ran_twice " + TaskName(job, task));
+      ++of_job;
+      in_zone += other->zone == on.zone ? 1 : 0;
+    }
+  }
+  const Users::Known* known = users_.Find(job);
+  if (known == nullptr) return;
+  if (IsWrongPlace(known->spec, on, of_job, in_zone)) {
+    Break("wrong_place " + TaskName(job, task) + " on " + on.name);
+  }
+  if (known->cancelled != 0) {
+    ++starts_after_cancel;
+    if (now > known->cancelled + settings_.cancel) {
+      Break("ran_cancelled: started " + TaskName(job, task));
+    }
+  }
+}
+
+void RuleChecker::OnAnswer(const UserAnswer& answer) {
+  const Users::Known* known = users_.Find(answer.id);
+  if (known == nullptr) {
+    if (!answer.submission && answer.status == 200) Break("invented " + answer.id);
+    return;
+  }
+  const bool was_known = known->accepted != 0 && known->accepted < answer.asked;
+  if (was_known && (answer.status == 404 || answer.status == 400 || answer.status == 422)) {
+    Break("forgotten " + answer.id + ": " + answer.method + " gave " +
+          std::to_string(answer.status));
+  }
+  if (answer.status != 200 && answer.status != 201) return;
+  if (answer.job_status == "cancelled" && !known->asked_cancel) {
+    Break("went_back " + answer.id + ": not cancelled");
+  }
+  const bool was_done = known->done != 0 && known->done < answer.asked;
+  const bool was_cancelled = known->cancelled != 0 && known->cancelled < answer.asked;
+  if ((was_done && answer.job_status != "done") ||
+      (was_cancelled && answer.job_status != "cancelled")) {
+    Break("went_back " + answer.id + " to " + answer.job_status);
+  }
+  if (answer.job_status != "done") return;
+  for (int task = 0; task < known->spec.tasks; ++task) {
+    if (results_.count({answer.id, task}) == 0) Break("not_done " + TaskName(answer.id, task));
+  }
+}
+
+void RuleChecker::CheckRunning(Micros now) {
+  std::map<std::string, Amount> used;
+  for (const auto& [name, worker] : workers_) {
+    // One that hangs past its lease ends its tasks before it does anything else.
+    if (worker->dead || (worker->hung && now - worker->lease_from > kWorkerLease)) continue;
+    for (const auto& [key, task] : worker->tasks) {
+      if (task.state == TaskState::kExited) continue;
+      const Users::Known* known = users_.Find(key.first);
+      if (known == nullptr) continue;
+      used[known->spec.team] += known->spec.each;
+      if (known->cancelled != 0 && now > known->cancelled + settings_.cancel) {
+        Break("ran_cancelled " + TaskName(key.first, key.second) + " on " + name);
+      }
+    }
+  }
+  for (const Team& team : settings_.teams) {
+    if (team.cpus_max > 0 && used[team.name].cpus > team.cpus_max) Break("quota " + team.name);
+  }
+}
+
+}  // namespace troutlink::test
--- a/tests/stories_test.cc
+++ b/tests/stories_test.cc
@@ -8,7 +8,7 @@
 
 constexpr Micros kReady = 3 * kSecond;
 
-#define EXPECT_KEPT(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front()
+#define EXPECT_KEPT(w) EXPECT_TRUE((w).broken().empty()) << (w).broken().front()
 
 std::string Status(World& w, size_t node, const std::string& id) {
   auto a = w.AskUntil(node, "GET", "/api/jobs/" + id);
@@ -311,7 +311,7 @@
 TEST(Stories, ACloudOutageTurnsNoSubmissionAway) {
   World w;
   w.Run(kReady);
-  w.cloud_down = true;
+  w.cloud.down = true;
   for (size_t i = 0; i < 3; ++i) {
     w.Kill(i);
     w.Start(i);
@@ -367,7 +367,7 @@
   ASSERT_EQ(lost, 1);
   w.DeliverHeld();  // now the machines exist, and nobody was told
   EXPECT_TRUE(w.Until([&] { return Status(w, 0, "job-1") == "done"; }, 90 * kSecond));
-  EXPECT_TRUE(w.Until([&] { return w.returns == w.rentals; }, 120 * kSecond));
+  EXPECT_TRUE(w.Until([&] { return w.cloud.returns == w.cloud.rentals; }, 120 * kSecond));
   EXPECT_KEPT(w);
 }
 
@@ -425,7 +425,7 @@
 
 TEST(Stories, CriticalWorkPushesLesserWorkAside) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   w.AddWorker("small");
   w.Run(kReady);
   w.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(World::Array("job-1", 8)));
@@ -439,7 +439,7 @@
   // Part 0 gets machines of one zone only; whichever part the job is given to,
   // it ends up with a replica in each of two zones, and nobody passes it on.
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 6; ++i) w.AddWorker("small").zone = i < 4 ? "z1" : "z2";
   w.Run(kReady);
   JobSpec spec = World::Service("job-8", 2);
@@ -484,7 +484,7 @@
         },
         90 * kSecond))
         << moment;
-    ASSERT_TRUE(w.broken.empty()) << w.broken.front() << " at moment " << moment;
+    ASSERT_TRUE(w.broken().empty()) << w.broken().front() << " at moment " << moment;
   }
 }
 
@@ -509,7 +509,7 @@
   w.AddWorker("small");
   w.AddWorker("small", true);
   w.Run(150 * kSecond);
-  EXPECT_EQ(w.returns, 2);
+  EXPECT_EQ(w.cloud.returns, 2);
 }
 
 TEST(Stories, AMachineThatDoesNotHearIsSetAsideAndItsTasksMove) {
@@ -663,13 +663,13 @@
         },
         90 * kSecond))
         << moment;
-    ASSERT_TRUE(w.broken.empty()) << w.broken.front() << " at moment " << moment;
+    ASSERT_TRUE(w.broken().empty()) << w.broken().front() << " at moment " << moment;
   }
 }
 
 TEST(Stories, TheLargestJobBeginsWhileSmallOnesKeepComing) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 3; ++i) w.AddWorker("small");
   w.Run(2 * kReady);
   int id = 1000;
@@ -703,7 +703,7 @@
   // Narrow tasks end one by one and refill each gap: without a reservation there
   // is never room for a task that takes a whole machine.
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 3; ++i) w.AddWorker("small");
   w.Run(2 * kReady);
   int id = 1000;
@@ -730,7 +730,7 @@
 
 TEST(Stories, ATeamWithinItsGuaranteeIsServedBesideOneThatFloods) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 3; ++i) w.AddWorker("small");
   w.Run(2 * kReady);
   int id = 1000;
@@ -795,7 +795,7 @@
       (*facts)["state"]["write_rps"] = 400.0;
       (*facts)["state"]["rps"] = 1000.0;
     });
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     for (int i = 0; i < 300; ++i) w.AddWorker("small");
     w.Run(kReady);
     w.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(World::Array("job-5", 250)));
@@ -822,13 +822,13 @@
     w.Kill(leader);
     w.Run(12 * kSecond);
     EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-5") == 250; }, 60 * kSecond)) << moment;
-    ASSERT_TRUE(w.broken.empty()) << w.broken.front() << " at moment " << moment;
+    ASSERT_TRUE(w.broken().empty()) << w.broken().front() << " at moment " << moment;
   }
 }
 
 TEST(Stories, ACopyOfAStartAfterItsReapStartsNothing) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   FakeWorker& first = w.AddWorker("small");
   w.Run(kReady);
   w.keep_calls = true;
@@ -851,7 +851,9 @@
   World w;
   int rented = 0;
   // Of the first six every other one never comes up; the rest take three times as long.
-  w.boot_time = [&] { return ++rented <= 6 && rented % 2 == 0 ? 10000 * kSecond : 15 * kSecond; };
+  w.cloud.boot_time = [&] {
+    return ++rented <= 6 && rented % 2 == 0 ? 10000 * kSecond : 15 * kSecond;
+  };
   w.run_time["job-1"] = 5 * kSecond;
   w.Run(kReady);
   w.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(World::Array("job-1", 24)));
@@ -862,7 +864,7 @@
   int never = 0;
   for (auto& [name, x] : w.workers) never += !x->dead && x->lease_from > w.now ? 1 : 0;
   EXPECT_EQ(never, 0);  // nothing is paid for that does not come
-  EXPECT_LE(w.rentals, 30);
+  EXPECT_LE(w.cloud.rentals, 30);
   EXPECT_EQ(w.OnMachines("job-5"), 4);
   EXPECT_KEPT(w);
 }
@@ -871,7 +873,7 @@
   World w;
   w.mistaken = {"job-66"};
   w.run_time["job-1"] = 4 * kSecond;
-  w.capacity = 6;
+  w.cloud.capacity = 6;
   w.Run(kReady);
   w.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(World::Array("job-66", 40)));
   w.Run(10 * kSecond);
@@ -892,13 +894,13 @@
   EXPECT_EQ(w.AskUntil(1, "POST", "/api/jobs/job-66/abort").body.value("status", ""), "cancelled");
   w.Run(5 * kSecond);
   EXPECT_EQ(w.OnMachines("job-66"), 0);
-  EXPECT_EQ(w.starts_after_cancel, 0);
+  EXPECT_EQ(w.rules.starts_after_cancel, 0);
   EXPECT_KEPT(w);
 }
 
 TEST(Stories, AFreeMachineThatItsOwnerMissesIsNotTaken) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 9; ++i) w.AddWorker("small");
   w.Run(1500 * kMilli);
   std::map<std::string, int> shard_of;
@@ -926,7 +928,7 @@
   // Machines go from part to part as work comes to one or another. One that was here
   // before has seen a higher token meanwhile.
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 9; ++i) w.AddWorker("small");
   w.Run(kReady);
   uint64_t acquired_machines = 0;
@@ -948,7 +950,7 @@
 // not time.
 TEST(FullSize, WorkIsDoneForWhatChanged) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   for (int i = 0; i < 300; ++i) w.AddWorker("small");
   for (auto& [n, x] : w.workers) x->lease_from = x->next_report = w.now + 2 * kSecond;
   w.Run(6 * kSecond);
