--- a/tests/random_faults_test.cc
+++ b/tests/random_faults_test.cc
@@ -1,6 +1,7 @@
 // Overlapping faults of all kinds, drawn from a seed.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <cstdio>
 #include <cstdlib>
 #include <random>
@@ -11,262 +12,422 @@
 namespace troutlink::test {
 namespace {
 
-// Overlapping faults of all kinds drawn from a seed. The world checks the rules at every
-// step; once all is over, everything accepted must be served. Other seeds by hand:
-// TROUTLINK_SEEDS=first:last.
-
-class Troubles {
+// Plays one seed: users act and faults overlap for 150 s; after that everything accepted must
+// be served. The world checks the rules at every step. The same seed is always the same run.
+class RandomFaults {
  public:
-  explicit Troubles(unsigned seed) : rng_(seed) {
-    w_.cloud.capacity = 200;
-    for (int i = 0; i < 8; ++i) {
-      FakeWorker& m = w_.AddWorker("small", i % 3 == 0);
-      m.zone = i % 2 == 0 ? "z1" : "z2";
-    }
-    w_.lose = [this](size_t node, const Call& call) {
-      const bool write = call.dest == Dest::kState && call.target == "/commit";
-      const bool command = call.dest == Dest::kWorker && call.method == "POST";
-      if ((!write && !command) || !Chance(write ? late_writes_ : late_commands_)) return false;
-      // Carried out at once but not answered, or late, or never.
-      const int kind = Draw(0, 3);
-      if (kind != 0) w_.ServeLater(node, call, kind == 1 ? 2 * kMilli : Draw(2000, 12000) * kMilli);
-      return true;
-    };
-  }
+  explicit RandomFaults(unsigned seed);
 
-  void Play() {
-    w_.Run(kReady);
-    for (int i = 0; i < 6; ++i) SubmitOne();
-    const Micros end = w_.now + 150 * kSecond;
-    while (w_.now < end) {
-      w_.Run(Draw(50, 2500) * kMilli);
-      if (Chance(0.5)) UsersAct();
-      if (Chance(0.5) && healing_.size() < 5) Trouble();
-      Heal(false);
-      if (!w_.broken().empty()) return;
-    }
-    Heal(true);
-    w_.Run(100 * kSecond);
-    Settle();
-  }
+  // Plays the seed to its end, or to the first broken rule.
+  void Play();
   const World& world() const { return w_; }
-  std::string told() const {
-    std::string all;
-    for (const std::string& line : log_) all += line + "\n";
-    return all;
-  }
+  // What was done, and when: for whoever looks into a failed seed.
+  std::string Told() const;
 
  private:
+  // --- draws ---
   int Draw(int from, int to) { return std::uniform_int_distribution<int>(from, to)(rng_); }
   bool Chance(double p) { return std::bernoulli_distribution(p)(rng_); }
   size_t Node() { return static_cast<size_t>(Draw(0, 2)); }
-  FakeWorker* Machine() {
-    std::vector<FakeWorker*> up;
-    for (auto& [name, m] : w_.workers) {
-      if (!m->dead && m->lease_from <= w_.now) up.push_back(m.get());
-    }
-    return up.empty() ? nullptr : up[static_cast<size_t>(Draw(0, static_cast<int>(up.size()) - 1))];
+  FakeWorker* Machine();
+  std::string AnyJob();
+  Micros Duration() { return Chance(0.4) ? Draw(100, 2000) * kMilli : Draw(2000, 45000) * kMilli; }
+
+  // --- users ---
+  std::string NewId() { return "job-" + std::to_string(100 + submitted_++); }
+  void SubmitSpec(const JobSpec& spec);
+  JobSpec OrdinaryJob();
+  void SubmitMistaken();
+  void SubmitGuests();
+  void Cancel(const std::string& id, size_t node);
+  void UsersAct();
+  void Question();
+
+  // --- faults ---
+  void BeginFault();
+  void During(const std::string& what, Micros time, std::function<void()> end);
+  void StateDown(const std::string& what, Micros time);
+  void StateCut(size_t n, Micros time);
+  void MeshFault(Micros time);
+  void EndNode(size_t n, Micros time);
+  void FreezeNode(size_t n, Micros time);
+  void Gap(size_t n, Micros time);
+  void MachineFaults(Micros time);
+  void LateBoots(Micros time);
+  long Faults() const {
+    return std::count_if(due_.begin(), due_.end(), [](const Due& due) { return due.fault; });
   }
+  // Ends faults, and lets users act, whose time has come.
+  void RunDue(bool all);
+
+  // --- the end ---
+  void CancelMistaken();
+  void Settle();
+
+  void Advance(Micros time);
   void Say(const std::string& what) {
     log_.push_back(std::to_string(w_.now / kMilli - 1000000) + " ms: " + what);
   }
 
-  void SubmitOne() {
-    const std::string id = "job-" + std::to_string(100 + submitted_++);
-    const bool service = Chance(0.3);
-    JobSpec spec = service ? World::Service(id, Draw(1, 4)) : World::Array(id, Draw(1, 6));
-    if (Chance(0.4)) spec.team = "red";
-    if (Chance(0.2)) spec.zone = Chance(0.5) ? "z1" : "z2";
-    if (service && Chance(0.4) && spec.zone.empty()) spec.spread = true;
-    if (!service) {
-      spec.spot = Chance(0.7);
-      spec.priority = Chance(0.3) ? Priority::kLow : Priority::kNormal;
-      w_.SetRunTime(id, Draw(500, 25000) * kMilli);
-    }
-    specs_[id] = spec;
-    w_.Submit(Node(), spec);
+  std::mt19937 rng_;
+  World w_;
+  std::map<std::string, JobSpec> specs_;
+  int submitted_ = 0, ordinary_ = 0;
+  bool guests_came_ = false;
+  double late_writes_ = 0, late_commands_ = 0;
+  int storms_ = 0;  // that go on now
+  std::set<size_t> frozen_;
+  // What is due later: the end of a fault, or what a user does then.
+  struct Due {
+    Micros when;
+    std::function<void()> run;
+    bool fault;
+  };
+  std::vector<Due> due_;
+  std::vector<std::string> log_;
+};
+
+// A team without a guarantee, up to a limit.
+void AddGuests(Json* facts) {
+  (*facts)["teams"].push_back(
+      {{"name", "guest"}, {"cpus", 0.0}, {"cpus_max", 48.0}, {"gpus", 0.0}, {"gpus_max", 0.0}});
+}
+
+RandomFaults::RandomFaults(unsigned seed) : rng_(seed), w_(3, AddGuests) {
+  w_.cloud.capacity = 200;
+  for (int i = 0; i < 8; ++i) {
+    w_.AddWorker("small", i % 3 == 0).zone = i % 2 == 0 ? "z1" : "z2";
   }
-  std::string AnyJob() {
-    auto it = specs_.begin();
-    std::advance(it, Draw(0, static_cast<int>(specs_.size()) - 1));
-    return it->first;
+  w_.lose = [this](size_t node, const Call& call) {
+    const bool write = call.dest == Dest::kState && call.target == "/commit";
+    const bool command = call.dest == Dest::kWorker && call.method == "POST";
+    if ((!write && !command) || !Chance(write ? late_writes_ : late_commands_)) return false;
+    // Carried out at once but not answered, or late, or never.
+    const int kind = Draw(0, 3);
+    if (kind != 0) w_.ServeLater(node, call, kind == 1 ? 2 * kMilli : Draw(2000, 12000) * kMilli);
+    return true;
+  };
+}
+
+void RandomFaults::Play() {
+  w_.Run(kReady);
+  for (int i = 0; i < 6; ++i) SubmitSpec(OrdinaryJob());
+  const Micros end = w_.now + 150 * kSecond;
+  while (w_.now < end) {
+    Advance(Draw(50, 2500) * kMilli);
+    if (Chance(0.5)) UsersAct();
+    if (Chance(0.5) && Faults() < 5) BeginFault();
+    RunDue(false);
+    if (!w_.broken().empty()) return;
   }
-  void UsersAct() {
-    if (specs_.size() < 24 && Chance(0.3)) SubmitOne();
-    for (int i = 0; i < 3; ++i) w_.Ask(Node(), "GET", "/api/jobs/" + AnyJob());
-    if (Chance(0.3)) w_.Submit(Node(), specs_[AnyJob()]);  // a repeat
-    if (Chance(0.15)) w_.Ask(Node(), "GET", "/api/jobs/job-99999");
-    if (Chance(0.25)) {
-      const std::string id = AnyJob();
-      const size_t node = Node();
-      Say("cancel " + id + " at " + std::to_string(node));
-      w_.Ask(node, "POST", "/api/jobs/" + id + "/abort");
+  RunDue(true);
+  w_.Run(20 * kSecond);  // longer than any request is held up
+  CancelMistaken();
+  w_.Run(80 * kSecond);
+  Settle();
+}
+
+std::string RandomFaults::Told() const {
+  std::string all;
+  for (const std::string& line : log_) all += line + "\n";
+  return all;
+}
+
+// Lets time pass; in a storm all nodes are asked all the while.
+void RandomFaults::Advance(Micros time) {
+  const Micros end = w_.now + time;
+  while (w_.now < end) {
+    if (storms_ == 0) {
+      w_.Run(end - w_.now);
+      return;
     }
+    Question();
+    w_.Run(std::min<Micros>(10 * kMilli, end - w_.now));
+    RunDue(false);
   }
+}
 
-  // Begins one; it ends by itself.
-  void Trouble() {
-    const size_t n = Node();
-    const std::string at = " node " + std::to_string(n);
-    FakeWorker* m = Machine();
-    auto during = [this](const std::string& what, Micros time, std::function<void()> end) {
-      Say(what + " for " + std::to_string(time / kMilli) + " ms");
-      healing_.push_back({w_.now + time, std::move(end)});
-    };
-    const Micros time = Chance(0.4) ? Draw(100, 2000) * kMilli : Draw(2000, 45000) * kMilli;
-    switch (Draw(0, 17)) {
-      case 0:
-        w_.state_down = true;
-        during("state down", time, [this] {
-          w_.state_down = false;
-          w_.state.Refresh(w_.now);
-        });
-        break;
-      case 1:
-      case 2:
-        w_.refused_by_state.insert(n);
-        during("state refuses" + at, time, [this, n] { w_.refused_by_state.erase(n); });
-        break;
-      case 3:
-        w_.cut_from_state.insert(n);
-        during("state cut from" + at, time, [this, n] { w_.cut_from_state.erase(n); });
-        if (!Chance(0.5)) break;
-        w_.cut_from_mesh.insert(n);
-        during("mesh cut from" + at, time, [this, n] { w_.cut_from_mesh.erase(n); });
-        break;
-      case 4:
-        w_.cut_from_workers.insert(n);
-        during("workers cut from" + at, time, [this, n] { w_.cut_from_workers.erase(n); });
-        break;
-      case 5:
-        if (Chance(0.5)) {
-          w_.hold_mesh = true;
-          during("mesh held", time, [this] { w_.ReleaseMesh(); });
-          break;
-        }
-        w_.mesh_down = true;
-        during("mesh down", time, [this] { w_.mesh_down = false; });
-        break;
-      case 6:
-      case 7:
-        if (!w_.alive(n)) break;
-        w_.Kill(n);
-        during("ends" + at, Chance(0.5) ? Draw(20, 900) * kMilli : time / 3,
-               [this, n] { w_.Start(n); });
-        break;
-      case 8:
-        for (size_t i = 0; i < 3; ++i) {
-          if (!w_.alive(i)) continue;
-          w_.Kill(i);
-          during("ends node " + std::to_string(i), Draw(20, 15000) * kMilli,
-                 [this, i] { w_.Start(i); });
-        }
-        break;
-      case 9:
-        if (!w_.alive(n) || frozen_.count(n) != 0) break;
-        w_.Freeze(n);
-        frozen_.insert(n);
-        during("stands still" + at, time / 2, [this, n] {
-          frozen_.erase(n);
-          if (w_.alive(n)) w_.Thaw(n);
-        });
-        break;
-      case 10:
-        late_writes_ = 0.3;
-        during("late writes", time, [this] { late_writes_ = 0; });
-        break;
-      case 11:
-        late_commands_ = 0.5;
-        during("late commands", time, [this] { late_commands_ = 0; });
-        break;
-      case 12:
-        w_.state_latency = Draw(50, 1400) * kMilli;
-        during("slow state", time, [this] { w_.state_latency = 0; });
-        break;
-      case 13:
-      case 14: {
-        // The gap: refused alone, cancelled through others and not always answered, then
-        // down for all.
-        w_.refused_by_state.insert(n);
-        during("gap: state refuses" + at, time, [this, n] { w_.refused_by_state.erase(n); });
-        if (w_.state_down) break;
-        late_writes_ = 0.6;
-        for (int i = 0; i < 6; ++i) {
-          const std::string id = AnyJob();
-          Say("cancel " + id);
-          w_.Ask((n + 1) % 3, "POST", "/api/jobs/" + id + "/abort");
-          w_.Run(Draw(20, 300) * kMilli);
-          for (size_t node = 0; node < 3; ++node) w_.Ask(node, "GET", "/api/jobs/" + id);
-        }
-        late_writes_ = 0;
-        w_.state_down = true;
-        during("gap: state down", Draw(20, 50) * kSecond, [this] {
-          w_.state_down = false;
-          w_.state.Refresh(w_.now);
-        });
-        break;
-      }
-      default: {
-        const int kind = Draw(0, 4);
-        for (int i = Draw(1, 4); i > 0 && m != nullptr; --i, m = Machine()) {
-          bool FakeWorker::*what[] = {&FakeWorker::hung, &FakeWorker::silent,
-                                      &FakeWorker::unhearing, &FakeWorker::mute};
-          static const char* const names[] = {"hangs", "is cut off", "is deaf", "is mute"};
-          if (kind == 4) {
-            for (int copies = 0; copies < 4; ++copies) {
-              w_.ReportLater(m, Node(), Draw(100, 20000) * kMilli);
-            }
-            Say("copies of reports of " + m->name);
-            continue;
-          }
-          m->*what[kind] = true;
-          during(m->name + " " + names[kind], time / 2,
-                 [m, field = what[kind]] { m->*field = false; });
-        }
-      }
-    }
+// --- draws ------------------------------------------------------------------------
+
+FakeWorker* RandomFaults::Machine() {
+  std::vector<FakeWorker*> up;
+  for (auto& [name, machine] : w_.workers) {
+    if (!machine->dead && machine->lease_from <= w_.now) up.push_back(machine.get());
+  }
+  return up.empty() ? nullptr : up[static_cast<size_t>(Draw(0, static_cast<int>(up.size()) - 1))];
+}
+
+std::string RandomFaults::AnyJob() {
+  auto it = specs_.begin();
+  std::advance(it, Draw(0, static_cast<int>(specs_.size()) - 1));
+  return it->first;
+}
+
+// --- users ------------------------------------------------------------------------
+
+void RandomFaults::SubmitSpec(const JobSpec& spec) {
+  specs_[spec.id] = spec;
+  w_.Submit(Node(), spec);
+}
+
+JobSpec RandomFaults::OrdinaryJob() {
+  ++ordinary_;
+  const std::string id = NewId();
+  const bool service = Chance(0.3);
+  JobSpec spec = service ? World::Service(id, Draw(1, 4)) : World::Array(id, Draw(1, 6));
+  if (Chance(0.4)) spec.team = "red";
+  if (Chance(0.2)) spec.zone = Chance(0.5) ? "z1" : "z2";
+  if (service && Chance(0.4) && spec.zone.empty()) spec.spread = true;
+  if (!service) {
+    spec.spot = Chance(0.7);
+    spec.priority = Chance(0.3) ? Priority::kLow : Priority::kNormal;
+    w_.SetRunTime(id, Draw(500, 25000) * kMilli);
+  }
+  return spec;
+}
+
+// A job that fails everywhere; its user notices and cancels it after a while.
+void RandomFaults::SubmitMistaken() {
+  JobSpec spec = OrdinaryJob();
+  const std::string id = spec.id;
+  w_.mistaken.insert(id);
+  Say("mistaken " + id);
+  SubmitSpec(spec);
+  const size_t node = Node();
+  due_.push_back({w_.now + Draw(5, 60) * kSecond, [this, id, node] { Cancel(id, node); }, false});
+}
+
+// One huge array of low priority, and many of one task.
+void RandomFaults::SubmitGuests() {
+  guests_came_ = true;
+  JobSpec huge = World::Array(NewId(), Draw(100, 300));
+  huge.team = "guest";
+  huge.each = {2000, 0, 4000};
+  huge.priority = Priority::kLow;
+  w_.SetRunTime(huge.id, Draw(500, 3000) * kMilli);
+  const int small = Draw(10, 30);
+  Say("guests: " + huge.id + " of " + std::to_string(huge.tasks) + " tasks, and " +
+      std::to_string(small) + " of one");
+  SubmitSpec(huge);
+  for (int i = 0; i < small; ++i) {
+    JobSpec spec = World::Array(NewId(), 1);
+    spec.team = "guest";
+    spec.spot = Chance(0.5);
+    w_.SetRunTime(spec.id, Draw(500, 5000) * kMilli);
+    SubmitSpec(spec);
+  }
+}
+
+void RandomFaults::Cancel(const std::string& id, size_t node) {
+  Say("cancel " + id + " at " + std::to_string(node));
+  w_.Ask(node, "POST", "/api/jobs/" + id + "/abort");
+}
+
+void RandomFaults::UsersAct() {
+  if (ordinary_ < 24 && Chance(0.3)) SubmitSpec(OrdinaryJob());
+  if (ordinary_ < 24 && Chance(0.06)) SubmitMistaken();
+  if (!guests_came_ && Chance(0.04)) SubmitGuests();
+  for (int i = 0; i < 3; ++i) w_.Ask(Node(), "GET", "/api/jobs/" + AnyJob());
+  if (Chance(0.3)) w_.Submit(Node(), specs_[AnyJob()]);  // a repeat
+  if (Chance(0.15)) w_.Ask(Node(), "GET", "/api/jobs/job-99999");
+  if (Chance(0.25)) Cancel(AnyJob(), Node());
+}
+
+// One for each node, about jobs that are open or finished, and about unknown ones.
+void RandomFaults::Question() {
+  for (size_t node = 0; node < 3; ++node) {
+    const std::string id = Chance(0.3) ? "job-" + std::to_string(90000 + Draw(0, 999)) : AnyJob();
+    w_.Ask(node, "GET", "/api/jobs/" + id);
+  }
+}
+
+// --- faults -----------------------------------------------------------------------
+
+// It ends by itself, or with all others.
+void RandomFaults::During(const std::string& what, Micros time, std::function<void()> end) {
+  Say(what + " for " + std::to_string(time / kMilli) + " ms");
+  due_.push_back({w_.now + time, std::move(end), true});
+}
+
+void RandomFaults::BeginFault() {
+  const size_t n = Node();
+  const std::string at = " node " + std::to_string(n);
+  const Micros time = Duration();
+  switch (Draw(0, 20)) {
+    case 0: StateDown("state down", time); break;
+    case 1:
+    case 2:
+      w_.refused_by_state.insert(n);
+      During("state refuses" + at, time, [this, n] { w_.refused_by_state.erase(n); });
+      break;
+    case 3: StateCut(n, time); break;
+    case 4:
+      w_.cut_from_workers.insert(n);
+      During("workers cut from" + at, time, [this, n] { w_.cut_from_workers.erase(n); });
+      break;
+    case 5: MeshFault(time); break;
+    case 6:
+    case 7: EndNode(n, Chance(0.5) ? Draw(20, 900) * kMilli : time / 3); break;
+    case 8:
+      for (size_t i = 0; i < 3; ++i) EndNode(i, Draw(20, 15000) * kMilli);
+      break;
+    case 9: FreezeNode(n, time / 2); break;
+    case 10:
+      late_writes_ = 0.3;
+      During("late writes", time, [this] { late_writes_ = 0; });
+      break;
+    case 11:
+      late_commands_ = 0.5;
+      During("late commands", time, [this] { late_commands_ = 0; });
+      break;
+    case 12:
+      w_.state_latency = Draw(50, 1400) * kMilli;
+      During("slow state", time, [this] { w_.state_latency = 0; });
+      break;
+    case 13:
+    case 14: Gap(n, time); break;
+    case 15: LateBoots(time); break;
+    case 16:
+    case 17:
+      ++storms_;
+      During("storm of questions", Draw(1000, 6000) * kMilli, [this] { --storms_; });
+      break;
+    default: MachineFaults(time / 2);
   }
-  void Heal(bool all) {
-    auto due = std::move(healing_);
-    healing_.clear();
-    for (auto& [when, end] : due) {
-      if (all || when <= w_.now) {
-        end();
-      } else {
-        healing_.push_back({when, std::move(end)});
+}
+
+void RandomFaults::StateDown(const std::string& what, Micros time) {
+  w_.state_down = true;
+  During(what, time, [this] {
+    w_.state_down = false;
+    w_.state.Refresh(w_.now);
+  });
+}
+
+void RandomFaults::StateCut(size_t n, Micros time) {
+  const std::string at = " node " + std::to_string(n);
+  w_.cut_from_state.insert(n);
+  During("state cut from" + at, time, [this, n] { w_.cut_from_state.erase(n); });
+  if (!Chance(0.5)) return;
+  w_.cut_from_mesh.insert(n);
+  During("mesh cut from" + at, time, [this, n] { w_.cut_from_mesh.erase(n); });
+}
+
+void RandomFaults::MeshFault(Micros time) {
+  if (Chance(0.5)) {
+    w_.hold_mesh = true;
+    During("mesh held", time, [this] { w_.ReleaseMesh(); });
+    return;
+  }
+  w_.mesh_down = true;
+  During("mesh down", time, [this] { w_.mesh_down = false; });
+}
+
+void RandomFaults::EndNode(size_t n, Micros time) {
+  if (!w_.alive(n)) return;
+  w_.Kill(n);
+  During("ends node " + std::to_string(n), time, [this, n] { w_.Start(n); });
+}
+
+void RandomFaults::FreezeNode(size_t n, Micros time) {
+  if (!w_.alive(n) || frozen_.count(n) != 0) return;
+  w_.Freeze(n);
+  frozen_.insert(n);
+  During("stands still node " + std::to_string(n), time, [this, n] {
+    frozen_.erase(n);
+    if (w_.alive(n)) w_.Thaw(n);
+  });
+}
+
+// Refused alone, cancelled through others and not always answered, then down for all.
+void RandomFaults::Gap(size_t n, Micros time) {
+  w_.refused_by_state.insert(n);
+  During("gap: state refuses node " + std::to_string(n), time,
+         [this, n] { w_.refused_by_state.erase(n); });
+  if (w_.state_down) return;
+  late_writes_ = 0.6;
+  for (int i = 0; i < 6; ++i) {
+    const std::string id = AnyJob();
+    Cancel(id, (n + 1) % 3);
+    w_.Run(Draw(20, 300) * kMilli);
+    for (size_t node = 0; node < 3; ++node) w_.Ask(node, "GET", "/api/jobs/" + id);
+  }
+  late_writes_ = 0;
+  StateDown("gap: state down", Draw(20, 50) * kSecond);
+}
+
+void RandomFaults::MachineFaults(Micros time) {
+  const int kind = Draw(0, 4);
+  FakeWorker* machine = Machine();
+  for (int i = Draw(1, 4); i > 0 && machine != nullptr; --i, machine = Machine()) {
+    bool FakeWorker::*what[] = {&FakeWorker::hung, &FakeWorker::silent, &FakeWorker::unhearing,
+                                &FakeWorker::mute};
+    static const char* const names[] = {"hangs", "is cut off", "is deaf", "is mute"};
+    if (kind == 4) {
+      for (int copies = 0; copies < 4; ++copies) {
+        w_.ReportLater(machine, Node(), Draw(100, 20000) * kMilli);
       }
+      Say("copies of reports of " + machine->name);
+      continue;
     }
+    machine->*what[kind] = true;
+    During(machine->name + " " + names[kind], time,
+           [machine, field = what[kind]] { machine->*field = false; });
   }
+}
 
-  // Troubles are over for long: all that was accepted is known, over or running.
-  void Settle() {
-    for (const auto& [id, known] : w_.jobs()) {
-      if (known.accepted == 0) continue;
-      const size_t node = Node();
-      auto a = w_.AskUntil(node, "GET", "/api/jobs/" + id);
-      EXPECT_EQ(a.status, 200) << id << " at " << node;
-      const std::string status = a.body.value("status", "?");
-      const bool service = known.spec.kind == JobKind::kService;
-      if (status == "cancelled" || status == "done") {
-        EXPECT_EQ(w_.OnMachines(id), 0) << id << " " << status;
-      } else if (service) {
-        EXPECT_EQ(w_.OnMachines(id), known.spec.tasks) << id << " " << status;
-      } else {
-        EXPECT_GT(w_.OnMachines(id), 0) << id << " waits: " << status;
-      }
+// Machines that are rented meanwhile boot late, or never.
+void RandomFaults::LateBoots(Micros time) {
+  w_.cloud.boot_time = [this] { return Chance(0.3) ? 100000 * kSecond : Draw(5, 40) * kSecond; };
+  During("late boots", time, [this] { w_.cloud.boot_time = nullptr; });
+}
+
+void RandomFaults::RunDue(bool all) {
+  auto before = std::move(due_);
+  due_.clear();
+  for (Due& due : before) {
+    if (all || due.when <= w_.now) {
+      due.run();
+    } else {
+      due_.push_back(std::move(due));
     }
   }
+}
 
-  std::mt19937 rng_;
-  World w_;
-  std::map<std::string, JobSpec> specs_;
-  int submitted_ = 0;
-  double late_writes_ = 0, late_commands_ = 0;
-  std::set<size_t> frozen_;
-  std::vector<std::pair<Micros, std::function<void()>>> healing_;
-  std::vector<std::string> log_;
-};
+// --- the end ----------------------------------------------------------------------
+
+// Troubles are over: the users of jobs that can never be done cancel them for good.
+void RandomFaults::CancelMistaken() {
+  for (const std::string& id : w_.mistaken) {
+    const Users::Known* known = w_.users.Find(id);
+    auto answer = w_.AskUntil(Node(), "POST", "/api/jobs/" + id + "/abort");
+    // No node took it, or its acceptance got lost on the way to the user.
+    if (answer.status == 404 && (known == nullptr || known->accepted == 0)) continue;
+    EXPECT_EQ(answer.status, 200) << id;
+    EXPECT_EQ(answer.body.value("status", "?"), "cancelled") << id;
+  }
+}
+
+// Troubles are over for long: all that was accepted is known, over or running.
+void RandomFaults::Settle() {
+  for (const auto& [id, known] : w_.jobs()) {
+    if (known.accepted == 0) continue;
+    const size_t node = Node();
+    auto answer = w_.AskUntil(node, "GET", "/api/jobs/" + id);
+    EXPECT_EQ(answer.status, 200) << id << " at " << node;
+    const std::string status = answer.body.value("status", "?");
+    const bool service = known.spec.kind == JobKind::kService;
+    if (status == "cancelled" || status == "done") {
+      EXPECT_EQ(w_.OnMachines(id), 0) << id << " " << status;
+    } else if (service) {
+      EXPECT_EQ(w_.OnMachines(id), known.spec.tasks) << id << " " << status;
+    } else {
+      EXPECT_GT(w_.OnMachines(id), 0) << id << " waits: " << status;
+    }
+  }
+}
 
+// Other seeds by hand: TROUTLINK_SEEDS=first:last.
 TEST(FaultCombinations, AnyTroublesTogetherBreakNoRule) {
   unsigned first = 1, last = 20;
   if (const char* seeds = std::getenv("TROUTLINK_SEEDS")) {
@@ -274,10 +435,10 @@
   }
   for (unsigned seed = first; seed <= last; ++seed) {
     SCOPED_TRACE(testing::Message() << "seed " << seed);
-    Troubles t(seed);
-    t.Play();
-    EXPECT_KEPT(t.world());
-    if (HasFailure()) FAIL() << t.told();
+    RandomFaults faults(seed);
+    faults.Play();
+    EXPECT_KEPT(faults.world());
+    if (HasFailure()) FAIL() << faults.Told();
   }
 }
 
