--- a/src/core/core.h
+++ b/src/core/core.h
@@ -82,7 +82,15 @@
   struct MachineUse {
     const AssignedMachine* machine = nullptr;
     Amount all;
-    Amount critical;               // by work of the highest priority
+    std::array<Amount, kPriorities> by_priority;
+    // By work of that priority and above.
+    Amount AtLeast(Priority priority) const {
+      Amount sum;
+      for (size_t i = static_cast<size_t>(priority); i < by_priority.size(); ++i) {
+        sum += by_priority[i];
+      }
+      return sum;
+    }
     std::set<std::string> images;  // of its tasks
     // Of the shards that are ours, in the order of the machine's attempts.
     struct Slot {
@@ -277,7 +285,7 @@
                            const PlaceMachine& probe, Room* room, JobSpread* spread);
   bool HasImage(const MachineUse& use, const std::string& image) const;
   // Cpus that wait in each shard for work of at least each priority.
-  using Waits = std::vector<std::array<int64_t, 4>>;
+  using Waits = std::vector<std::array<int64_t, kPriorities>>;
   const Waits& WaitingCpus();
   void AddWaiting(int shard_id, const JobSpec& spec, int64_t tasks);
   int64_t WaitingTasks(const std::string& id, const JobRecord& record) const;
--- a/src/core/replica.cc
+++ b/src/core/replica.cc
@@ -320,7 +320,7 @@
         if (job == nullptr) continue;
         const JobSpec& spec = job->record.spec;
         use.all += spec.each;
-        if (spec.priority == Priority::kProduction) use.critical += spec.each;
+        use.by_priority[static_cast<size_t>(spec.priority)] += spec.each;
         use.images.insert(spec.image);
       }
     }
--- a/src/core/shard_choice.cc
+++ b/src/core/shard_choice.cc
@@ -37,7 +37,7 @@
 }
 
 void Core::AddWaiting(int shard_id, const JobSpec& spec, int64_t tasks) {
-  std::array<int64_t, 4>& waits = waits_[static_cast<size_t>(shard_id)];
+  std::array<int64_t, kPriorities>& waits = waits_[static_cast<size_t>(shard_id)];
   for (int priority = 0; priority <= static_cast<int>(spec.priority); ++priority) {
     waits[static_cast<size_t>(priority)] += tasks * spec.each.cpus;
   }
@@ -74,11 +74,15 @@
   if (type == nullptr || machine.leaving || !machine.helps.empty()) return;
   if (!TypeAllowed(spec, machine.type, machine.spot)) return;
   if (spec.each.Fits(type->size)) ++room->machines;
-  room->size += static_cast<double>(type->size.cpus - use.critical.cpus);
-  // What it may push aside is room for a critical job.
+  room->size += static_cast<double>(type->size.cpus - use.AtLeast(Priority::kProduction).cpus);
+  // What it may push aside is room for critical work, and half of it for an array, which
+  // should rather go where nothing has to be stopped.
   const bool critical = spec.priority == Priority::kProduction;
-  Amount left = type->size - (critical ? use.critical : use.all);
-  if (left.cpus > 0) room->free += static_cast<double>(left.cpus);
+  const bool preempts = critical || spec.kind == JobKind::kArray;
+  Amount left = type->size - (preempts ? use.AtLeast(spec.priority) : use.all);
+  const int64_t unused = std::max<int64_t>(0, (type->size - use.all).cpus);
+  const int64_t available = std::max<int64_t>(0, left.cpus);
+  room->free += static_cast<double>(critical ? available : (unused + available) / 2);
   if (machine.addr.empty()) return;  // still booting
   if (!spec.each.Fits(left)) return;
   PlaceMachine probe;
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -39,6 +39,7 @@
 enum class JobKind { kArray, kService, kGang };
 // Higher is more important.
 enum class Priority { kLow = 0, kNormal = 1, kHigh = 2, kProduction = 3 };
+inline constexpr size_t kPriorities = 4;
 
 struct JobSpec {
   std::string id;
--- a/tests/array_preemption_test.cc
+++ b/tests/array_preemption_test.cc
@@ -1,14 +1,11 @@
 // More important arrays make less important ones give way, in measure.
 #include <gtest/gtest.h>
 
-#include "world.h"
+#include "test_support.h"
 
 namespace troutlink::test {
 namespace {
 
-#define EXPECT_KEPT(w) EXPECT_TRUE((w).broken.empty()) << (w).broken.front()
-
-constexpr Micros kReady = 3 * kSecond;
 constexpr int kMachines = 3;
 
 // Idle-time work that saves its progress.
@@ -30,7 +27,7 @@
 // A fleet that is full of one job and cannot grow.
 struct FullFleet : World {
   explicit FullFleet(const JobSpec& filler, Micros run = 300 * kSecond) {
-    capacity = kMachines;
+    cloud.capacity = kMachines;
     run_time[filler.id] = run;
     Run(kReady);
     AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(filler));
@@ -122,11 +119,11 @@
 // Only what is waited for is worth machines at the full price.
 TEST(ArrayPreemption, IdleTimeWorkRentsNoSteadyMachines) {
   World w;
-  w.capacity = 0;
+  w.cloud.capacity = 0;
   w.Run(kReady);
   w.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(Survey("job-1", 40)));
   w.Run(5 * kSecond);
-  w.capacity = 100;
+  w.cloud.capacity = 100;
   w.Run(120 * kSecond);
   for (const auto& [name, worker] : w.workers) EXPECT_TRUE(worker->spot) << name;
   EXPECT_GT(w.OnMachines("job-1"), 0);
