--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -1,3 +1,5 @@
+// Inputs and outputs of the core: every request, answer, message of a peer and tick comes in
+// here, and what it led to goes out.
 #include "core/core.h"
 
 #include <algorithm>
@@ -94,8 +96,8 @@
 }
 
 const Team* Core::FindTeam(const std::string& name) const {
-  for (const Team& t : settings_.teams) {
-    if (t.name == name) return &t;
+  for (const Team& team : settings_.teams) {
+    if (team.name == name) return &team;
   }
   return nullptr;
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -143,15 +143,33 @@
     Micros peak_at = 0;
   };
 
+  // Reads everything, page by page, and then begins to watch.
   void StartList(Micros now);
-  void ListPage(Micros now, const std::string& after);
+  void ReadListPage(const std::string& after);
+  void OnListPage(Micros now, int status, const std::string& body);
   void FinishList(Micros now);
+  // What was deleted while no watch could tell.
+  void EraseUnlisted(Micros now);
   void StartWatch(Micros now);
-  void ApplyPut(Micros now, const std::string& key, const std::string& value, uint64_t version);
-  void ApplyErase(Micros now, const std::string& key, uint64_t version);
-  void ApplyChunk(Micros now, int shard_id, int chunk, const std::string& value, uint64_t version);
-  // Once a batch of changes has been applied.
+  void OnWatchAnswered(Micros now, Micros sent, int status, const std::string& body);
+  // A record as the state service holds it: by a list, a watch or our own commit. One that
+  // is not newer than the replica's changes nothing. ReindexShards follows a batch of them.
+  void ApplyPut(Micros now, const std::string& name, const std::string& value, uint64_t version);
+  void ApplyErase(Micros now, const std::string& name, uint64_t version);
+  void ApplyJob(Micros now, const std::string& id, const std::string& value, uint64_t version);
+  void ApplyOpenJob(const std::string& id, const JobEntry& entry);
+  void ApplyFinishedJob(Micros now, const std::string& id, JobEntry* entry);
+  void ApplyLeadership(Micros now, int shard_id, const std::string& value, uint64_t version);
+  void ApplyProgress(int shard_id, const std::string& value, uint64_t version);
+  void ApplyTypes(const std::string& value);
+  void ApplyChunk(Micros now, int shard_id, int index, const std::string& value, uint64_t version);
+  // The machine is no longer in the shard's assignment table, or is there as given.
+  void RemoveMachine(Micros now, int shard_id, const std::string& name);
+  void PutMachine(Micros now, int shard_id, AssignedMachine machine);
   void ReindexShards(Micros now);
+  MachineUse CountUse(const AssignedMachine& machine) const;
+  // Whether there is such a shard, and this node leads it.
+  bool LeadsShard(int shard_id) const;
   void DropFinishedSpec(JobEntry* entry);
   int ShardOfMachine(const std::string& name) const;
 
--- a/src/core/leadership.cc
+++ b/src/core/leadership.cc
@@ -216,13 +216,13 @@
   txn.writes.push_back({LeadershipKey(shard_id), "", 0, true});
   ++counters_.puts;
   Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kStateTimeout,
-       [this, shard_id, epoch = shard.epoch](Micros t, int status, const std::string&) {
+       [this, shard_id, epoch = shard.epoch](Micros answered, int status, const std::string&) {
          Shard& shard = ShardAt(shard_id);
          shard.releasing = false;
          if (status == 200 && shard.is_leader && shard.epoch == epoch) {
            ++counters_.handed_back;
-           shard.no_election_before = t + 3 * kSecond;
-           LoseLeadership(t, shard_id, "handed back");
+           shard.no_election_before = answered + 3 * kSecond;
+           LoseLeadership(answered, shard_id, "handed back");
          }
        });
 }
