--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -1,3 +1,5 @@
+// Inputs and outputs of the core: every request, answer, message of a peer and tick comes in
+// here, and what it led to goes out.
 #include "core/core.h"
 
 #include <algorithm>
@@ -11,6 +13,11 @@
 constexpr double kShareOfLimits = 0.9;
 constexpr Micros kStoodStill = 3 * kSecond;
 constexpr Micros kWatchGap = 6 * kSecond;  // without a watch: the state is listed again
+
+bool IsAbort(const Request& request) {
+  std::optional<wire::JobPath> path = wire::ParseJobPath(request.target);
+  return path && path->abort;
+}
 }  // namespace
 
 Core::Core(const Settings& settings, uint64_t boot, Micros now, Micros wall)
@@ -71,6 +78,13 @@
   }
   auto open = open_.find(request);
   if (open != open_.end()) {
+    const bool unsettled = status == 404 && IsAbort(open->second.request);
+    if (open->second.forward != 0 && unsettled) {
+      // The copy at a peer may still find the job that its user submits after a 404.
+      status = 503;
+      body = wire::EncodeError("no such job so far");
+      retry_after_s = 1;
+    }
     if (status >= 429 && open->second.forward != 0) {
       // A peer is still at work on it.
       open->second.refused = true;
@@ -94,8 +108,8 @@
 }
 
 const Team* Core::FindTeam(const std::string& name) const {
-  for (const Team& t : settings_.teams) {
-    if (t.name == name) return &t;
+  for (const Team& team : settings_.teams) {
+    if (team.name == name) return &team;
   }
   return nullptr;
 }
--- a/src/core/forwarding.cc
+++ b/src/core/forwarding.cc
@@ -50,6 +50,12 @@
   return best == nullptr ? "" : best->label;
 }
 
+bool Core::HasCopy(uint64_t request) const {
+  if (foreign_.count(request) != 0) return true;
+  auto open = open_.find(request);
+  return open == open_.end() || open->second.forwarded_at != 0;
+}
+
 bool Core::ForwardRequest(Micros now, OpenRequest* open) {
   open->tried = true;
   std::string to = FreshPeer(now);
--- a/src/core/queries.cc
+++ b/src/core/queries.cc
@@ -151,9 +151,16 @@
 void Core::Abort(Micros now, Query query) {
   const JobEntry* entry = FindJob(query.id);
   if (entry == nullptr) {
+    query.unknown_job = true;
     Poll(now, std::move(query));  // 404 only once the state service confirms it
     return;
   }
+  // Another copy of it may have been answered 404 before the job was submitted: this one
+  // would cancel a job that nobody wants cancelled any more.
+  if (query.unknown_job && HasCopy(query.request)) {
+    Answer(query.request, 503, wire::EncodeError("submitted meanwhile"), kRetryAfter);
+    return;
+  }
   if (entry->record.state != JobState::kOpen) {
     Answer(query.request, 200, wire::EncodeJobState(query.id, StateName(entry->record.state)));
     return;
--- a/tests/fault_combinations_cancellation_test.cc
+++ b/tests/fault_combinations_cancellation_test.cc
@@ -291,5 +291,38 @@
   }
 }
 
+// A cancellation of a job that does not exist yet is passed on while the state service is
+// slow, and answered with 404. The copy that was passed on must not cancel the job that is
+// submitted after that.
+TEST(FaultCombinations, ACancellationAnsweredAsUnknownDoesNotCancelALaterSubmission) {
+  for (Micros slow : {1300 * kMilli, 300 * kMilli, 150 * kMilli}) {
+    SCOPED_TRACE(testing::Message() << "slow " << slow);
+    World w;
+    w.Run(kReady);
+    Accept(w, 2, World::Service("job-5", 1));  // all nodes hear of a change: they are fresh
+    w.state_latency = 1300 * kMilli;
+    for (size_t n : {0, 2}) w.Ask(n, "GET", "/api/jobs/job-99");  // the copy waits for this
+    auto cancel = w.Ask(1, "POST", "/api/jobs/job-7/abort");
+    w.Run(kSecond);
+    w.state_latency = slow;
+    ASSERT_TRUE(w.Until([&] { return cancel->status != -100; }, 3 * kSecond));
+    // Not told 404 while a copy of it is on its way, or told so by all copies.
+    if (cancel->status == 503) {
+      cancel = std::make_shared<World::Answered>(w.AskUntil(1, "POST", "/api/jobs/job-7/abort"));
+    }
+    ASSERT_EQ(cancel->status, 404);
+    w.Run(20 * kMilli);  // the copy's comparison is under way
+    w.state_latency = 0;
+    auto submitted = w.Submit(1, World::Service("job-7", 1));
+    ASSERT_TRUE(w.Until([&] { return submitted->status != -100; }, kSecond));
+    ASSERT_EQ(submitted->status, 201);
+    w.Ask(0, "GET", "/api/jobs/job-98");  // a younger question stands before the copy
+    EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-7") == 1; }, 30 * kSecond));
+    w.Run(10 * kSecond);
+    EXPECT_EQ(Status(w, 1, "job-7"), "running");
+    EXPECT_KEPT(w);
+  }
+}
+
 }  // namespace
 }  // namespace troutlink::test
