--- a/src/core/cloud.cc
+++ b/src/core/cloud.cc
@@ -194,7 +194,7 @@
   if (!types || types->empty()) return;
   types_ = std::move(*types);
   // Kept for the day on which we start while the cloud is away.
-  if (!types_stored_.empty() || !synced_ || !write_budget_.Take(now, 1, 2)) return;
+  if (!types_stored_.empty() || !feed_.synced() || !write_budget_.Take(now, 1, 2)) return;
   types_stored_ = body;
   StateTxn txn;
   txn.writes.push_back({std::string(kRoot) + "types", body, 0, false});
@@ -298,12 +298,12 @@
   }
   if (now >= next_judge_) next_judge_ = now + kJudgePeriod;
   // Rentals and returns come first.
-  if (any && synced_ && list_busy_ && !list_after_.empty()) {
+  if (any && feed_.synced() && list_busy_ && !list_after_.empty()) {
     if (now - machines_asked_ > kListPatience) {
       list_busy_ = false;  // its first pages are too old
     } else if (cloud_budget_.Take(now, 1, 1))
       AskMachines(now, std::string(list_after_));
-  } else if (any && synced_ && !list_busy_ && now >= next_machines_ &&
+  } else if (any && feed_.synced() && !list_busy_ && now >= next_machines_ &&
              cloud_budget_.Take(now, 1, 1)) {
     list_busy_ = true;
     AskMachines(now, "");
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -12,7 +12,6 @@
 namespace {
 constexpr double kShareOfLimits = 0.9;
 constexpr Micros kStoodStill = 3 * kSecond;
-constexpr Micros kWatchGap = 6 * kSecond;  // without a watch: the state is listed again
 }  // namespace
 
 Core::Core(const Settings& settings, uint64_t boot, Micros now, Micros wall)
@@ -105,7 +104,7 @@
 // What every input may have made possible.
 void Core::After(Micros now) {
   RunQueries(now);
-  if (synced_) RunRounds(now);
+  if (feed_.synced()) RunRounds(now);
 }
 
 Outbox Core::HandleRequest(Micros now, const Request& request) {
@@ -198,17 +197,14 @@
       if (info.since != 0) info.since = now;
     }
   }
-  if (!watching_ && !listing_ && now >= watch_retry_) {
-    // All changes since then in one answer may be more than fits in memory.
-    if (!synced_ || now - watched_at_ > kWatchGap) {
-      StartList(now);
-    } else {
-      StartWatch(now);
-    }
+  switch (feed_.Due(now)) {
+    case ReplicaFeed::Step::kList: StartList(now); break;
+    case ReplicaFeed::Step::kWatch: StartWatch(now); break;
+    case ReplicaFeed::Step::kWait: break;
   }
   if (now >= next_heartbeat_) Heartbeat(now);
   RunLease(now);
-  if (synced_) RunElections(now);
+  if (feed_.synced()) RunElections(now);
   ShareLimits(now);
   RunCloud(now);
   EndStaleRelays(now);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -20,6 +20,7 @@
 #include "core/io.h"
 #include "core/placement.h"
 #include "core/records.h"
+#include "core/replica_feed.h"
 #include "core/session_lease.h"
 #include "wire/messages.h"
 
@@ -54,7 +55,7 @@
   const Counters& counters() const { return counters_; }
   // For operators and tests.
   bool IsLeader(int shard_id) const { return shards_[static_cast<size_t>(shard_id)].is_leader; }
-  bool Synced() const { return synced_; }
+  bool Synced() const { return feed_.synced(); }
   const AssignmentTable& AssignmentsOf(int shard_id) const {
     return shards_[static_cast<size_t>(shard_id)].assignments;
   }
@@ -567,19 +568,12 @@
   std::unordered_map<uint64_t, Handler> pending_;
 
   // Replica.
-  bool synced_ = false;
-  bool listing_ = false;
-  uint64_t list_revision_ = 0;
-  Micros list_sent_ = 0;
+  ReplicaFeed feed_;
   struct ListItem {
     std::string value;
     uint64_t version = 0;
   };
   std::map<std::string, ListItem> list_items_;
-  uint64_t replica_revision_ = 0;
-  bool watching_ = false;
-  Micros watched_at_ = 0;  // last answer of a watch, or of a whole list
-  Micros watch_retry_ = 0;
   Micros state_ok_ = 0;  // last answer of the state service
   std::unordered_map<std::string, JobEntry> jobs_;
   std::set<std::string> open_jobs_;
--- a/src/core/heartbeats.cc
+++ b/src/core/heartbeats.cc
@@ -21,7 +21,7 @@
     mesh::Ping ping;
     static_cast<mesh::Heartbeat&>(ping) = MakeHeartbeat(now, cached_images, peer.seen);
     ping.seq = ++ping_seq_;
-    cancellations_.PingSent(label, ping.seq, now, replica_revision_);
+    cancellations_.PingSent(label, ping.seq, now, feed_.revision());
     out_.peers.push_back({label, std::move(ping)});
   }
 }
@@ -30,7 +30,7 @@
   mesh::Heartbeat heartbeat;
   heartbeat.state_age_us =
       static_cast<uint64_t>(state_ok_ == 0 ? now - started_ + 3600 * kSecond : now - state_ok_);
-  heartbeat.seen = replica_revision_;
+  heartbeat.seen = feed_.revision();
   TellEpochs(&heartbeat);
   TellSilentMachines(now, &heartbeat);
   if (cached_images) TellCachedImages(&heartbeat);
@@ -83,7 +83,7 @@
 
 bool Core::WantsOwnShard(Micros now) const {
   const Shard& own = ShardAt(settings_.own_shard);
-  return synced_ && !own.is_leader && own.leadership_version != 0 && StateFresh(now) &&
+  return feed_.synced() && !own.is_leader && own.leadership_version != 0 && StateFresh(now) &&
          now - started_ > FromSeconds(settings_.op.hand_back_after_s());
 }
 
--- a/src/core/leadership.cc
+++ b/src/core/leadership.cc
@@ -238,7 +238,7 @@
 bool Core::Up(Micros now) const {
   // The machine types follow within moments; waiting for them would cost a whole
   // round of the balancer's probes.
-  if (!synced_) return false;
+  if (!feed_.synced()) return false;
   if (StateFresh(now)) return true;
   // A peer decides for us, or nobody has the state service and there is no
   // better node to go to. Only a node that hears nobody steps aside.
--- a/src/core/queries.cc
+++ b/src/core/queries.cc
@@ -27,9 +27,9 @@
     AnswerQuery(now, query);
     return;
   }
-  if (!synced_ || queries_.size() >= kMaxQueries) {
+  if (!feed_.synced() || queries_.size() >= kMaxQueries) {
     Answer(query.request, 503, wire::EncodeError("not ready"),
-           synced_ ? SpreadRetry(query.id) : kRetryAfter);
+           feed_.synced() ? SpreadRetry(query.id) : kRetryAfter);
     return;
   }
   queries_.push_back(std::move(query));
--- a/src/core/replica.cc
+++ b/src/core/replica.cc
@@ -10,16 +10,13 @@
 constexpr Micros kWatchHold = 2 * kSecond;
 constexpr Micros kListTimeout = 2 * kSecond;
 constexpr double kWatchReserve = 20;  // requests
-constexpr Micros kWatchPause = 40 * kMilli;
 constexpr int kListLimit = 500;
 const std::string kTypesKey = std::string(kRoot) + "types";
 }  // namespace
 
 void Core::StartList(Micros now) {
-  listing_ = true;
+  feed_.ListStarted(now);
   list_items_.clear();
-  list_revision_ = 0;
-  list_sent_ = now;
   ReadListPage("");
 }
 
@@ -34,14 +31,11 @@
   std::optional<wire::StatePage> page;
   if (status == 200) page = wire::DecodeList(body);
   if (!page) {
-    listing_ = false;
-    watch_retry_ = now + 300 * kMilli;
+    feed_.ListFailed(now);
     return;
   }
   state_ok_ = now;
-  // What changes while the pages are read arrives by the watch, which
-  // begins at the revision of the first page.
-  if (list_revision_ == 0) list_revision_ = std::max<uint64_t>(1, page->revision);
+  feed_.ListPageRead(page->revision);
   for (StateItem& item : page->items) {
     list_items_[item.key] = {std::move(item.value), item.version};
   }
@@ -57,30 +51,27 @@
   for (const auto& [key, item] : list_items_) ApplyPut(now, key, item.value, item.version);
   list_items_.clear();
   ReindexShards(now);
-  listing_ = false;
-  synced_ = true;
-  watched_at_ = now;
-  replica_revision_ = list_revision_;
-  cancellations_.ReplicaCompleteUpTo(list_sent_);
+  feed_.ListFinished(now);
+  cancellations_.ReplicaCompleteUpTo(feed_.complete_up_to());
   StartWatch(now);
 }
 
 void Core::EraseUnlisted(Micros now) {
   std::vector<std::string> gone;
   auto check = [&](const std::string& key, uint64_t version) {
-    if (version <= list_revision_ && list_items_.count(key) == 0) gone.push_back(key);
+    if (version <= feed_.list_revision() && list_items_.count(key) == 0) gone.push_back(key);
   };
   for (const auto& [id, entry] : jobs_) check(JobKey(id), entry.version);
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     const uint64_t version = ShardAt(shard_id).leadership_version;
     if (version != 0) check(LeadershipKey(shard_id), version);
   }
-  for (const std::string& key : gone) ApplyErase(now, key, list_revision_);
+  for (const std::string& key : gone) ApplyErase(now, key, feed_.list_revision());
 }
 
 void Core::StartWatch(Micros now) {
-  watching_ = true;
-  Send(Dest::kWatch, "", "GET", wire::WatchTarget(kRoot, replica_revision_, kWatchHold), "",
+  feed_.WatchStarted();
+  Send(Dest::kWatch, "", "GET", wire::WatchTarget(kRoot, feed_.revision(), kWatchHold), "",
        kWatchHold + 1500 * kMilli,
        [this, sent = now](Micros answered, int status, const std::string& body) {
          OnWatchAnswered(answered, sent, status, body);
@@ -88,20 +79,17 @@
 }
 
 void Core::OnWatchAnswered(Micros now, Micros sent, int status, const std::string& body) {
-  watching_ = false;
   if (status == 410) {
-    // Too far behind: read everything again.
-    synced_ = false;
-    watch_retry_ = now;
+    feed_.WatchTooOld(now);
     return;
   }
   std::optional<wire::WatchReply> reply;
   if (status == 200) reply = wire::DecodeWatch(body);
   if (!reply) {
-    watch_retry_ = now + 200 * kMilli;
+    feed_.WatchFailed(now);
     return;
   }
-  state_ok_ = watched_at_ = now;
+  state_ok_ = now;
   for (const StateEvent& event : reply->events) {
     if (event.erase) {
       ApplyErase(now, event.key, event.version);
@@ -110,14 +98,14 @@
     }
   }
   ReindexShards(now);
-  replica_revision_ = std::max(replica_revision_, reply->revision);
-  cancellations_.ReplicaCompleteUpTo(sent);
+  feed_.WatchAnswered(now, sent, reply->revision);
+  cancellations_.ReplicaCompleteUpTo(feed_.complete_up_to());
   // Each change ends a watch, and each node has one: when requests are short, a
   // watch waits a little and its answer takes more changes.
   if (state_budget_.Has(now, kWatchReserve)) {
     StartWatch(now);
   } else {
-    watch_retry_ = now + kWatchPause;
+    feed_.PauseWatch(now);
   }
 }
 
--- /dev/null
+++ b/src/core/replica_feed.cc
@@ -0,0 +1,57 @@
+#include "core/replica_feed.h"
+
+#include <algorithm>
+
+namespace troutlink {
+
+ReplicaFeed::Step ReplicaFeed::Due(Micros now) const {
+  if (watching_ || listing_ || now < next_try_) return Step::kWait;
+  return !synced_ || now - followed_at_ > kWatchGap ? Step::kList : Step::kWatch;
+}
+
+void ReplicaFeed::ListStarted(Micros now) {
+  listing_ = true;
+  list_sent_ = now;
+  list_revision_ = 0;
+}
+
+// What changes while the pages are read arrives by the watch, which
+// begins at the revision of the first page.
+void ReplicaFeed::ListPageRead(uint64_t revision) {
+  if (list_revision_ == 0) list_revision_ = std::max<uint64_t>(1, revision);
+}
+
+void ReplicaFeed::ListFailed(Micros now) {
+  listing_ = false;
+  next_try_ = now + kListPause;
+}
+
+void ReplicaFeed::ListFinished(Micros now) {
+  listing_ = false;
+  synced_ = true;
+  followed_at_ = now;
+  revision_ = list_revision_;
+  complete_up_to_ = std::max(complete_up_to_, list_sent_);
+}
+
+void ReplicaFeed::WatchFailed(Micros now) {
+  watching_ = false;
+  next_try_ = now + kWatchRetry;
+}
+
+void ReplicaFeed::WatchTooOld(Micros now) {
+  watching_ = false;
+  synced_ = false;
+  next_try_ = now;
+}
+
+void ReplicaFeed::WatchAnswered(Micros now, Micros sent, uint64_t revision) {
+  watching_ = false;
+  followed_at_ = now;
+  revision_ = std::max(revision_, revision);
+  complete_up_to_ = std::max(complete_up_to_, sent);
+}
+
+void ReplicaFeed::PauseWatch(Micros now) { next_try_ = now + kWatchPause; }
+
+}  // namespace troutlink
--- /dev/null
+++ b/src/core/replica_feed.h
@@ -0,0 +1,63 @@
+// How far the replica of the state service has been read, and what is read next.
+#ifndef TROUTLINK_CORE_REPLICA_FEED_H_
+#define TROUTLINK_CORE_REPLICA_FEED_H_
+
+#include <cstdint>
+
+#include "base/micros.h"
+
+namespace troutlink {
+
+// The replica is fed by one list of everything, page by page, and then by one watch after the
+// other. `Core` makes the calls, applies what they bring and tells this class; the class
+// decides when to list, when to watch and when to wait, and holds what is known then:
+// every change up to `revision()`, and every change made before `complete_up_to()`.
+class ReplicaFeed {
+ public:
+  enum class Step { kWait, kList, kWatch };
+  // What to begin now.
+  Step Due(Micros now) const;
+
+  void ListStarted(Micros now);
+  void ListPageRead(uint64_t revision);
+  void ListFailed(Micros now);
+  // All pages have been applied.
+  void ListFinished(Micros now);
+
+  void WatchStarted() { watching_ = true; }
+  void WatchFailed(Micros now);
+  // The state service no longer has the changes that the watch asked for.
+  void WatchTooOld(Micros now);
+  // The changes up to `revision` have been applied; the watch was sent at `sent`.
+  void WatchAnswered(Micros now, Micros sent, uint64_t revision);
+  // The next watch waits a little.
+  void PauseWatch(Micros now);
+
+  // Whether the replica has been read whole and followed since.
+  bool synced() const { return synced_; }
+  uint64_t revision() const { return revision_; }
+  Micros complete_up_to() const { return complete_up_to_; }
+  // Of the list under way: the revision from which the watch will go on.
+  uint64_t list_revision() const { return list_revision_; }
+
+ private:
+  static constexpr Micros kListPause = 300 * kMilli;
+  static constexpr Micros kWatchRetry = 200 * kMilli;
+  static constexpr Micros kWatchPause = 40 * kMilli;
+  // Without a watch for so long, all changes in one answer may be more than fits in memory.
+  static constexpr Micros kWatchGap = 6 * kSecond;
+
+  bool synced_ = false;
+  bool listing_ = false;
+  bool watching_ = false;
+  Micros next_try_ = 0;
+  Micros list_sent_ = 0;
+  uint64_t list_revision_ = 0;
+  Micros followed_at_ = 0;  // last answer of a watch, or of a whole list
+  uint64_t revision_ = 0;
+  Micros complete_up_to_ = 0;
+};
+
+}  // namespace troutlink
+
+#endif  // TROUTLINK_CORE_REPLICA_FEED_H_
--- a/src/core/reports.cc
+++ b/src/core/reports.cc
@@ -30,7 +30,7 @@
     AnswerReport(source, 400, wire::EncodeError("malformed report"));
     return;
   }
-  if (!synced_ && !cancellations_.ReplicaWasComplete()) {
+  if (!feed_.synced() && !cancellations_.ReplicaWasComplete()) {
     AnswerReport(source, 503, wire::EncodeError("not ready"));
     return;
   }
--- a/src/core/submissions.cc
+++ b/src/core/submissions.cc
@@ -46,7 +46,7 @@
     Answer(request.id, 422, wire::EncodeError(why));
     return;
   }
-  if (!synced_ || types_.empty() || !StateFresh(now)) {
+  if (!feed_.synced() || types_.empty() || !StateFresh(now)) {
     ++counters_.refused;
     Answer(request.id, 503, wire::EncodeError("not ready"), kRetryAfter);
     return;
--- a/tests/core_units_test.cc
+++ b/tests/core_units_test.cc
@@ -5,6 +5,7 @@
 #include <vector>
 
 #include "core/cancellations.h"
+#include "core/replica_feed.h"
 #include "core/session_lease.h"
 
 namespace troutlink {
@@ -228,5 +229,92 @@
   EXPECT_TRUE(lease.CallDue(3 * kSecond));
 }
 
+using Step = ReplicaFeed::Step;
+
+// A feed that read the list of revision 5, sent at 1 s, and watches.
+ReplicaFeed Watching() {
+  ReplicaFeed feed;
+  feed.ListStarted(kSecond);
+  feed.ListPageRead(5);
+  feed.ListFinished(2 * kSecond);
+  feed.WatchStarted();
+  return feed;
+}
+
+TEST(ReplicaFeed, ListsFirstAndThenWatches) {
+  ReplicaFeed feed;
+  EXPECT_FALSE(feed.synced());
+  EXPECT_EQ(feed.Due(kSecond), Step::kList);
+  feed.ListStarted(kSecond);
+  EXPECT_EQ(feed.Due(60 * kSecond), Step::kWait);  // one call at a time
+  feed.ListPageRead(5);
+  feed.ListPageRead(9);  // what changed since the first page comes by the watch
+  EXPECT_EQ(feed.list_revision(), 5u);
+  EXPECT_FALSE(feed.synced());
+  EXPECT_EQ(feed.complete_up_to(), 0);
+  feed.ListFinished(2 * kSecond);
+  EXPECT_TRUE(feed.synced());
+  EXPECT_EQ(feed.revision(), 5u);
+  EXPECT_EQ(feed.complete_up_to(), kSecond);  // when it was sent
+  EXPECT_EQ(feed.Due(2 * kSecond), Step::kWatch);
+  feed.WatchStarted();
+  EXPECT_EQ(feed.Due(60 * kSecond), Step::kWait);
+}
+
+TEST(ReplicaFeed, AnEmptyStoreHasARevisionToo) {
+  ReplicaFeed feed;
+  feed.ListStarted(kSecond);
+  feed.ListPageRead(0);
+  EXPECT_EQ(feed.list_revision(), 1u);
+}
+
+TEST(ReplicaFeed, TriesAFailedListAgainAfterAPause) {
+  ReplicaFeed feed;
+  feed.ListStarted(kSecond);
+  feed.ListPageRead(5);
+  feed.ListFailed(2 * kSecond);
+  EXPECT_FALSE(feed.synced());
+  EXPECT_EQ(feed.complete_up_to(), 0);
+  EXPECT_EQ(feed.Due(2 * kSecond + 300 * kMilli - 1), Step::kWait);
+  EXPECT_EQ(feed.Due(2 * kSecond + 300 * kMilli), Step::kList);
+  feed.ListStarted(3 * kSecond);
+  EXPECT_EQ(feed.list_revision(), 0u);  // begins anew
+}
+
+TEST(ReplicaFeed, AWatchBringsItForward) {
+  ReplicaFeed feed = Watching();
+  feed.WatchAnswered(5 * kSecond, 3 * kSecond, 8);
+  EXPECT_EQ(feed.revision(), 8u);
+  EXPECT_EQ(feed.complete_up_to(), 3 * kSecond);
+  EXPECT_EQ(feed.Due(5 * kSecond), Step::kWatch);
+  feed.PauseWatch(5 * kSecond);
+  EXPECT_EQ(feed.Due(5 * kSecond + 40 * kMilli - 1), Step::kWait);
+  EXPECT_EQ(feed.Due(5 * kSecond + 40 * kMilli), Step::kWatch);
+  feed.WatchStarted();
+  feed.WatchAnswered(6 * kSecond, 2 * kSecond, 7);  // takes nothing back
+  EXPECT_EQ(feed.revision(), 8u);
+  EXPECT_EQ(feed.complete_up_to(), 3 * kSecond);
+}
+
+TEST(ReplicaFeed, WatchesAgainAfterAFailureAndListsAfterALongGap) {
+  ReplicaFeed feed = Watching();
+  feed.WatchFailed(3 * kSecond);
+  EXPECT_TRUE(feed.synced());
+  EXPECT_EQ(feed.complete_up_to(), kSecond);
+  EXPECT_EQ(feed.Due(3 * kSecond + 200 * kMilli - 1), Step::kWait);
+  EXPECT_EQ(feed.Due(3 * kSecond + 200 * kMilli), Step::kWatch);
+  EXPECT_EQ(feed.Due(8 * kSecond), Step::kWatch);     // 6 s after the list ended
+  EXPECT_EQ(feed.Due(8 * kSecond + 1), Step::kList);  // and later than that
+  EXPECT_TRUE(feed.synced());                         // what it has is old and good
+}
+
+TEST(ReplicaFeed, ListsAtOnceWhenTheChangesAreNoLongerThere) {
+  ReplicaFeed feed = Watching();
+  feed.WatchTooOld(3 * kSecond);
+  EXPECT_FALSE(feed.synced());
+  EXPECT_EQ(feed.complete_up_to(), kSecond);  // what was known is known still
+  EXPECT_EQ(feed.Due(3 * kSecond), Step::kList);
+}
+
 }  // namespace
 }  // namespace troutlink
