--- a/src/core/acceptance.cc
+++ b/src/core/acceptance.cc
@@ -323,7 +323,7 @@
   StateTxn txn;
   std::map<std::string, uint64_t> versions;
   std::vector<Query> batch;
-  size_t most = static_cast<size_t>(4 * settings_.txn_ops);
+  size_t most = 4 * static_cast<size_t>(settings_.txn_ops);
   while (!queries_.empty() && versions.size() < most) {
     Query q = std::move(queries_.front());
     queries_.pop_front();
@@ -352,9 +352,7 @@
          for (const std::string& id : stale) FetchJob(t, id);
          for (Query q : batch) {
            // A failed transaction proves nothing of the keys it does not name.
-           if (status == 409 && stale.count(q.id) != 0) {
-             queries_.push_back(std::move(q));
-           } else if (status == 409 && stale.empty()) {
+           if (status == 409 && (stale.empty() || stale.count(q.id) != 0)) {
              queries_.push_back(std::move(q));
            } else {
              AnswerQuery(t, q);
--- a/src/core/commit.cc
+++ b/src/core/commit.cc
@@ -13,8 +13,8 @@
 constexpr Micros kRoundPeriod = 80 * kMilli;
 // A transaction's limit as the platform's protocol states it, with some room
 // left for its frame.
-constexpr int64_t kMaxTxnBytes = 62 * 1024;
-constexpr int64_t kMaxChunkBytes = 13 * 1024;
+constexpr int64_t kMaxTxnBytes = int64_t{62} * 1024;
+constexpr int64_t kMaxChunkBytes = int64_t{13} * 1024;
 constexpr int kMaxChunks = 1024;
 // Chunks whose stored content differs between two states of an assignment table.
 std::set<int> ChangedChunks(const AssignmentTable& before, const AssignmentTable& after) {
--- a/src/core/leadership.cc
+++ b/src/core/leadership.cc
@@ -208,7 +208,7 @@
     int distance = (settings_.own_shard - shard_id + n) % n;
     Micros wait = 0;
     if (distance != 0) {
-      wait = (distance - 1) * 600 * kMilli;
+      wait = (distance - 1) * (600 * kMilli);
       // Everybody starts at once: leave each its own.
       if (now - started_ < 5 * kSecond) wait += 3 * kSecond;
     }
--- a/src/core/placing.cc
+++ b/src/core/placing.cc
@@ -146,7 +146,7 @@
       others = std::max(others, shards_[static_cast<size_t>(other_id)].chunks.size());
   }
   const size_t taken = shard.chunks.size() + others + kOtherConditions;
-  const size_t conditions = static_cast<size_t>(4 * settings_.txn_ops);
+  const size_t conditions = 4 * static_cast<size_t>(settings_.txn_ops);
   const size_t most_jobs = conditions > taken ? conditions - taken : 1;
   const int64_t headroom = plan->headroom;
   const int64_t zone_headroom =
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -52,6 +52,7 @@
   std::string job;
   int task = 0;
   uint64_t number = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): false finding, the generated code holds no null.
   auto operator<=>(const Attempt&) const = default;
 };
 
--- a/src/core/workers.cc
+++ b/src/core/workers.cc
@@ -333,14 +333,11 @@
       continue;
     }
     if (direct || at.direct || !clean) continue;
-    if (at.seen) {
-      MarkGone(shard_id, a, &at);
-    } else if (!at.fresh) {
-      MarkGone(shard_id, a, &at);  // inherited, and never started
-    } else if ((JobOver(a.job) || at.stopping) &&
-               (at.reply_seq == 0 || at.reply_seq < report.seq)) {
-      // Decided but never started, and no longer wanted. A start in a reply to
-      // an earlier report was taken or dropped before this report was made.
+    // Seen before; or inherited, and never started; or decided but never started, and no
+    // longer wanted: a start in a reply to an earlier report was taken or dropped before
+    // this report was made.
+    if (at.seen || !at.fresh ||
+        ((JobOver(a.job) || at.stopping) && (at.reply_seq == 0 || at.reply_seq < report.seq))) {
       MarkGone(shard_id, a, &at);
     }
   }
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -21,8 +21,8 @@
 };
 
 struct Limits {
-  size_t head = 8 * 1024;
-  size_t body = 64 * 1024;
+  size_t head = size_t{8} * 1024;
+  size_t body = size_t{64} * 1024;
 };
 
 // Feeds on bytes in pieces of any size and yields one message at a time.
--- a/src/mesh/codec.h
+++ b/src/mesh/codec.h
@@ -15,7 +15,7 @@
 
 namespace troutlink::mesh {
 
-inline constexpr size_t kMaxFrame = 256 * 1024;
+inline constexpr size_t kMaxFrame = size_t{256} * 1024;
 
 struct ShardEpoch {
   uint64_t shard_id = 0;
--- a/src/runtime/client.cc
+++ b/src/runtime/client.cc
@@ -76,11 +76,11 @@
     }
     Waiting next = std::move(pool->waiting.front());
     pool->waiting.pop_front();
-    Assign(free, std::move(next));
+    Assign(free, next);
   }
 }
 
-void Client::Assign(Connection* c, Waiting waiting) {
+void Client::Assign(Connection* c, const Waiting& waiting) {
   c->busy = true;
   Wake(c);
   c->call = waiting.call.id;
--- a/src/runtime/client.h
+++ b/src/runtime/client.h
@@ -55,7 +55,8 @@
     Micros idle_since = 0;
     std::string out;
     size_t sent = 0;
-    http::Parser parser{http::Parser::Kind::kResponse, {16 * 1024, 64u * 1024 * 1024}};
+    http::Parser parser{http::Parser::Kind::kResponse,
+                        {size_t{16} * 1024, size_t{64} * 1024 * 1024}};
     ev_io io{};
   };
   struct Waiting {
@@ -73,7 +74,7 @@
   static void OnIo(struct ev_loop* loop, ev_io* w, int events);
   void Handle(Connection* c, int events);
   void Pump(Pool* pool);
-  void Assign(Connection* c, Waiting waiting);
+  void Assign(Connection* c, const Waiting& waiting);
   void Write(Connection* c);
   void Finish(Connection* c, int status, std::string body, bool keep);
   void Drop(Connection* c);
--- a/src/runtime/mesh_link.cc
+++ b/src/runtime/mesh_link.cc
@@ -13,7 +13,7 @@
 constexpr Micros kRedial = 300 * kMilli;
 constexpr Micros kConnectTimeout = kSecond;
 constexpr Micros kStalled = 2 * kSecond;
-constexpr size_t kMaxBuffered = 256 * 1024;
+constexpr size_t kMaxBuffered = size_t{256} * 1024;
 constexpr size_t kMaxIncoming = 32;
 }  // namespace
 
--- a/src/runtime/node.cc
+++ b/src/runtime/node.cc
@@ -34,7 +34,7 @@
       : settings_(settings),
         loop_(ev_default_loop(EVFLAG_AUTO)),
         core_(settings, DrawBoot(), SteadyNow(), WallNow()),
-        server_(loop_, ServerSockets(settings), [this](Request r) { OnRequest(std::move(r)); }),
+        server_(loop_, ServerSockets(settings), [this](const Request& r) { OnRequest(r); }),
         client_(loop_, WorkerSockets(settings),
                 [this](uint64_t call, int status, std::string body) {
                   inbox_.push_back({call, status, std::move(body)});
@@ -103,9 +103,9 @@
     }
   }
 
-  void OnRequest(Request request) { Dispatch(core_.HandleRequest(SteadyNow(), request)); }
+  void OnRequest(const Request& request) { Dispatch(core_.HandleRequest(SteadyNow(), request)); }
 
-  void Dispatch(Outbox out) {
+  void Dispatch(const Outbox& out) {
     for (const LogLine& line : out.log) {
       switch (line.level) {
         case LogLine::Level::kError: spdlog::error("{}", line.text); break;
--- a/src/runtime/server.h
+++ b/src/runtime/server.h
@@ -44,7 +44,7 @@
     std::list<Connection*>::iterator place;
     std::string out;
     size_t sent = 0;
-    http::Parser parser{http::Parser::Kind::kRequest, {8 * 1024, 64 * 1024}};
+    http::Parser parser{http::Parser::Kind::kRequest, {size_t{8} * 1024, size_t{64} * 1024}};
     ev_io io{};
   };
 
--- a/src/wire/user.cc
+++ b/src/wire/user.cc
@@ -137,7 +137,7 @@
 }
 
 Json EncodeSpec(const JobSpec& s) {
-  static const char* kPriorities[] = {"low", "standard", "urgent", "critical"};
+  static constexpr const char* kPriorities[] = {"low", "standard", "urgent", "critical"};
   Json m = {{"name_id", s.id},
             {"docket", s.job_class},
             {"owner", s.team},
--- a/src/wire/worker.cc
+++ b/src/wire/worker.cc
@@ -95,9 +95,9 @@
 }
 
 std::string EncodeReport(const Report& r) {
-  static const char* kStates[] = {"pulling", "running", "flushing", "ended"};
-  static const char* kReasons[] = {"",        "done",   "halted",  "error",
-                                   "no_room", "in_use", "no_such", "mates_gone"};
+  static constexpr const char* kStates[] = {"pulling", "running", "flushing", "ended"};
+  static constexpr const char* kReasons[] = {"",        "done",   "halted",  "error",
+                                             "no_room", "in_use", "no_such", "mates_gone"};
   Json tasks = Json::array();
   for (const TaskReport& t : r.tasks) {
     Json o = {{"piece", t.job + "/" + std::to_string(t.task)},
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -434,7 +434,7 @@
     w.SetRunTime(id, 2 * kSecond);
     Accept(w, static_cast<size_t>(i % 3), spec);
     w.Until([&] { return w.results.count({id, spec.tasks - 1}) != 0; }, 30 * kSecond);
-    w.Run(i * 5 * kMilli);
+    w.Run(i * (5 * kMilli));
     auto a = w.Ask(static_cast<size_t>(i % 3), "POST", "/api/jobs/" + id + "/abort");
     auto b = w.Ask(static_cast<size_t>((i + 1) % 3), "GET", "/api/jobs/" + id);
     auto c = w.Submit(static_cast<size_t>((i + 2) % 3), spec);
@@ -965,7 +965,7 @@
         for (int i = Draw(1, 4); i > 0 && m != nullptr; --i, m = Machine()) {
           bool FakeWorker::*what[] = {&FakeWorker::hung, &FakeWorker::silent,
                                       &FakeWorker::unhearing, &FakeWorker::mute};
-          static const char* const names[] = {"hangs", "is cut off", "is deaf", "is mute"};
+          static constexpr const char* kNames[] = {"hangs", "is cut off", "is deaf", "is mute"};
           if (kind == 4) {
             for (int copies = 0; copies < 4; ++copies) {
               w_.ReportLater(m, Node(), Draw(100, 20000) * kMilli);
@@ -974,7 +974,7 @@
             continue;
           }
           m->*what[kind] = true;
-          during(m->name + " " + names[kind], time / 2,
+          during(m->name + " " + kNames[kind], time / 2,
                  [m, field = what[kind]] { m->*field = false; });
         }
       }
--- a/tests/stories_test.cc
+++ b/tests/stories_test.cc
@@ -465,11 +465,11 @@
     w.Run(kReady);
     w.Submit(0, World::Array("job-1", 6));
     w.Submit(1, World::Service("job-2", 2));
-    w.Run(moment < 30 ? moment * 2 * kMilli : moment * 150 * kMilli);
+    w.Run(moment < 30 ? moment * (2 * kMilli) : moment * (150 * kMilli));
     for (size_t n = 0; n < 3; ++n) {
       if (moment % 4 == 3 || static_cast<int>(n) == moment % 4) w.Kill(n);
     }
-    w.Run((moment % 3) * 2 * kSecond + 100 * kMilli);
+    w.Run((moment % 3) * (2 * kSecond) + 100 * kMilli);
     for (size_t n = 0; n < 3; ++n) {
       if (!w.alive(n)) w.Start(n);
     }
@@ -638,15 +638,15 @@
     };
     w.Submit(0, World::Array("job-1", 6));
     w.Submit(1, World::Service("job-2", 2));
-    w.Run(300 * kMilli + moment * 130 * kMilli);
+    w.Run(300 * kMilli + moment * (130 * kMilli));
     const auto first = static_cast<size_t>(moment % 3);
     w.Kill(first);
-    w.Run((moment % 4) * 90 * kMilli);
+    w.Run((moment % 4) * (90 * kMilli));
     w.Start(first);
-    w.Run((moment % 5) * 60 * kMilli);
+    w.Run((moment % 5) * (60 * kMilli));
     // Mid-claim: its part has no owner, or the one that takes it goes as well.
     w.Kill((first + 1) % 3);
-    w.Run(3 * kSecond + (moment % 3) * 40 * kMilli);
+    w.Run(3 * kSecond + (moment % 3) * (40 * kMilli));
     w.Kill(first);
     w.Run(50 * kMilli);
     w.Start(first);
@@ -817,7 +817,7 @@
       ++x->session;
       x->lease_from = x->next_report = w.now;
     }
-    w.Run(60 * kMilli + moment * 70 * kMilli);
+    w.Run(60 * kMilli + moment * (70 * kMilli));
     const auto leader = static_cast<size_t>(w.LeaderOf(shard_id));
     w.Kill(leader);
     w.Run(12 * kSecond);
@@ -936,7 +936,7 @@
     JobSpec spec = World::Array(id, 4);
     spec.each = {16000, 0, 32000};
     w.Submit(static_cast<size_t>(i % 3), spec);
-    w.Run((1 + i % 4) * 700 * kMilli);
+    w.Run((1 + i % 4) * (700 * kMilli));
   }
   for (size_t n = 0; n < 3; ++n) acquired_machines += w.core(n).counters().acquired_machines;
   EXPECT_GT(acquired_machines, 5u);
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -616,7 +616,7 @@
   }
 }
 
-void World::Dispatch(size_t node, Outbox out) {
+void World::Dispatch(size_t node, const Outbox& out) {
   for (const Call& call : out.calls) Carry(node, call);
   for (const PeerMessage& m : out.peers) {
     if (mesh_down) break;
@@ -710,7 +710,7 @@
   Node& n = nodes_[node];
   Micros sent = now;
   uint64_t session = w->session;
-  auto next = [this, w, node](size_t to, Micros when) {
+  auto next = [this, w](size_t to, Micros when) {
     w->reporting = false;
     w->node = to;
     w->next_report = now + when;
--- a/tests/world.h
+++ b/tests/world.h
@@ -198,7 +198,7 @@
     std::vector<std::function<void()>> delayed;
   };
   void At(Micros when, std::function<void()> run);
-  void Dispatch(size_t node, Outbox out);
+  void Dispatch(size_t node, const Outbox& out);
   void Carry(size_t node, const Call& call);
   std::pair<int, std::string> Serve(size_t node, const Call& call, bool* hang);
   std::pair<int, Json> Cloud(const std::string& method, const std::string& target,
