--- a/src/core/leadership.cc
+++ b/src/core/leadership.cc
@@ -73,7 +73,7 @@
   const int count = settings_.shard_count();
   const int distance = (settings_.own_shard - shard_id + count) % count;
   if (distance == 0) return 0;
-  const Micros turn = (distance - 1) * 600 * kMilli;
+  const Micros turn = (distance - 1) * (600 * kMilli);
   // Everybody starts at once: leave each its own.
   return now - started_ < 5 * kSecond ? turn + 3 * kSecond : turn;
 }
