--- a/src/core/queries.cc
+++ b/src/core/queries.cc
@@ -48,7 +48,7 @@
   if (!state_budget_.Has(now, kQueryReserve)) return;
   std::map<std::string, uint64_t> versions;
   std::vector<Query> batch;
-  const size_t most = static_cast<size_t>(4 * settings_.txn_ops);
+  const size_t most = 4 * static_cast<size_t>(settings_.txn_ops);
   while (!queries_.empty() && versions.size() < most) {
     Query query = std::move(queries_.front());
     queries_.pop_front();
--- a/tests/core_units_test.cc
+++ b/tests/core_units_test.cc
@@ -19,11 +19,11 @@
   EXPECT_TRUE(TailReached(0.9, 90, 100));
   EXPECT_FALSE(TailReached(0.9, 100, 100));
   // 90% after 9 hours: at that rate one hour remains.
-  EXPECT_NEAR(ToSeconds(TailRemaining(9 * 3600 * kSecond, 90, 100)), 3600, 0.01);
+  EXPECT_NEAR(ToSeconds(TailRemaining(9 * (3600 * kSecond), 90, 100)), 3600, 0.01);
   // min(S/t_r, S): S/t_r = 10 and S = 10; with half an hour left S still caps.
   EXPECT_DOUBLE_EQ(TailCpus(10, 3600 * kSecond), 10);
   EXPECT_DOUBLE_EQ(TailCpus(10, 1800 * kSecond), 10);
-  EXPECT_DOUBLE_EQ(TailCpus(10, 2 * 3600 * kSecond), 5);
+  EXPECT_DOUBLE_EQ(TailCpus(10, 2 * (3600 * kSecond)), 5);
   EXPECT_DOUBLE_EQ(TailCpus(0, 3600 * kSecond), 0);
 }
 
--- a/tests/fault_combinations_cancellation_test.cc
+++ b/tests/fault_combinations_cancellation_test.cc
@@ -181,7 +181,7 @@
     w.SetRunTime(id, 2 * kSecond);
     Accept(w, static_cast<size_t>(i % 3), spec);
     w.Until([&] { return w.results.count({id, spec.tasks - 1}) != 0; }, 30 * kSecond);
-    w.Run(i * 5 * kMilli);
+    w.Run(i * (5 * kMilli));
     auto a = w.Ask(static_cast<size_t>(i % 3), "POST", "/api/jobs/" + id + "/abort");
     auto b = w.Ask(static_cast<size_t>((i + 1) % 3), "GET", "/api/jobs/" + id);
     auto c = w.Submit(static_cast<size_t>((i + 2) % 3), spec);
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -221,7 +221,7 @@
     w.Run(kReady);
     w.Submit(0, World::Array("job-1", 6));
     w.Submit(1, World::Service("job-2", 2));
-    w.Run(moment < 30 ? moment * 2 * kMilli : moment * 150 * kMilli);
+    w.Run(moment < 30 ? moment * (2 * kMilli) : moment * (150 * kMilli));
     for (size_t n = 0; n < 3; ++n) {
       if (moment % 4 == 3 || static_cast<int>(n) == moment % 4) w.Kill(n);
     }
@@ -256,7 +256,7 @@
     };
     w.Submit(0, World::Array("job-1", 6));
     w.Submit(1, World::Service("job-2", 2));
-    w.Run(300 * kMilli + moment * 130 * kMilli);
+    w.Run(300 * kMilli + moment * (130 * kMilli));
     const auto first = static_cast<size_t>(moment % 3);
     w.Kill(first);
     w.Run((moment % 4) * 90 * kMilli);
--- a/tests/random_faults_test.cc
+++ b/tests/random_faults_test.cc
@@ -362,7 +362,7 @@
   for (int i = Draw(1, 4); i > 0 && machine != nullptr; --i, machine = Machine()) {
     bool FakeWorker::*what[] = {&FakeWorker::hung, &FakeWorker::silent, &FakeWorker::unhearing,
                                 &FakeWorker::mute};
-    static const char* const names[] = {"hangs", "is cut off", "is deaf", "is mute"};
+    static constexpr const char* kNames[] = {"hangs", "is cut off", "is deaf", "is mute"};
     if (kind == 4) {
       for (int copies = 0; copies < 4; ++copies) {
         w_.ReportLater(machine, Node(), Draw(100, 20000) * kMilli);
@@ -371,7 +371,7 @@
       continue;
     }
     machine->*what[kind] = true;
-    During(machine->name + " " + names[kind], time,
+    During(machine->name + " " + kNames[kind], time,
            [machine, field = what[kind]] { machine->*field = false; });
   }
 }
--- a/tests/workers_test.cc
+++ b/tests/workers_test.cc
@@ -199,7 +199,7 @@
       ++x->session;
       x->lease_from = x->next_report = w.now;
     }
-    w.Run(60 * kMilli + moment * 70 * kMilli);
+    w.Run(60 * kMilli + moment * (70 * kMilli));
     const auto leader = static_cast<size_t>(w.LeaderOf(shard_id));
     w.Kill(leader);
     w.Run(12 * kSecond);
--- a/tests/world.h
+++ b/tests/world.h
@@ -165,7 +165,7 @@
   void Deliver(size_t node, std::function<void()> run);
 
   // --- what nodes send ---
-  void Dispatch(size_t node, Outbox out);
+  void Dispatch(size_t node, const Outbox& out);
   void Carry(size_t node, const Call& call);
   void SendToPeer(size_t node, const PeerMessage& message);
   std::pair<int, std::string> Serve(size_t node, const Call& call, bool* hang);
