--- /dev/null
+++ b/src/base/result.h
@@ -0,0 +1,46 @@
+// The outcome of reading a document: a value, or a typed error with one line of
+// text that says what is wrong.
+#ifndef TROUTLINK_BASE_RESULT_H_
+#define TROUTLINK_BASE_RESULT_H_
+
+#include <string>
+#include <utility>
+#include <variant>
+
+namespace troutlink {
+
+// What was wrong: `code` for the program, `text` for whoever sent the document.
+template <typename Code>
+struct Error {
+  Code code;
+  std::string text;
+};
+
+// Holds a value or an error, never both. Reading the one that is not held is a
+// fault of the caller.
+template <typename Value, typename Code>
+class Result {
+ public:
+  // Implicit, so that functions return a value or an error as it is, as with std::optional.
+  Result(Value value)  // NOLINT(google-explicit-constructor): see above
+      : state_(std::in_place_index<0>, std::move(value)) {}
+  Result(Error<Code> error)  // NOLINT(google-explicit-constructor): see above
+      : state_(std::in_place_index<1>, std::move(error)) {}
+
+  // True when it holds a value.
+  explicit operator bool() const { return state_.index() == 0; }
+  // The value.
+  Value& operator*() { return *std::get_if<0>(&state_); }
+  const Value& operator*() const { return *std::get_if<0>(&state_); }
+  Value* operator->() { return std::get_if<0>(&state_); }
+  const Value* operator->() const { return std::get_if<0>(&state_); }
+  // The error.
+  const Error<Code>& error() const { return *std::get_if<1>(&state_); }
+
+ private:
+  std::variant<Value, Error<Code>> state_;
+};
+
+}  // namespace troutlink
+
+#endif  // TROUTLINK_BASE_RESULT_H_
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -55,6 +55,13 @@
   return v;
 }
 
+Objective::Kind ParseObjectiveKind(const std::string& word) {
+  if (word == "wait") return Objective::Kind::kWait;
+  if (word == "finished") return Objective::Kind::kFinished;
+  if (word == "deadline") return Objective::Kind::kDeadline;
+  return Objective::Kind::kOther;
+}
+
 int64_t Milli(double v) { return std::llround(v * 1000); }
 
 Settings Read(const Json& doc) {
@@ -88,7 +95,7 @@
     for (const Json& o : *it) {
       if (!o.is_object()) continue;
       Objective objective;
-      objective.kind = o.value("kind", "");
+      objective.kind = ParseObjectiveKind(o.value("kind", ""));
       objective.job_class = o.value("class", "");
       if (auto w = o.find("within_s"); w != o.end() && w->is_number()) {
         objective.within = FromSeconds(w->get<double>());
@@ -161,58 +168,58 @@
   return e;
 }
 
-std::optional<Settings> ParseSettings(const std::string& json, std::string* error) {
+Result<Settings, SettingsFault> ParseSettings(const std::string& json) {
   Json doc = Json::parse(json, nullptr, false);
   if (doc.is_discarded()) {
-    *error = "settings are not JSON";
-    return std::nullopt;
+    return Error<SettingsFault>{SettingsFault::kSyntax, "settings are not JSON"};
   }
   try {
     return Read(doc);
   } catch (const std::exception& e) {
-    *error = e.what();
-    return std::nullopt;
+    return Error<SettingsFault>{SettingsFault::kBadField, e.what()};
   }
 }
 
-bool ParseOperatorSettings(const std::string& text, OperatorSettings* out, std::string* error) {
+Result<OperatorSettings, SettingsFault> ParseOperatorSettings(const std::string& text) {
+  OperatorSettings o;
   google::protobuf::TextFormat::Parser parser;
   FirstError first;
   parser.RecordErrorsTo(&first);
-  if (!parser.ParseFromString(text, out)) {
-    *error = "operator settings: " + first.text;
-    return false;
+  if (!parser.ParseFromString(text, &o)) {
+    return Error<SettingsFault>{SettingsFault::kSyntax, "operator settings: " + first.text};
   }
-  auto range = [error](const char* name, double v, double least, double most) {
+  std::string error;
+  auto range = [&error](const char* name, double v, double least, double most) {
     if (v >= least && v <= most) return true;
     char buf[200];
     std::snprintf(buf, sizeof buf, "operator settings: %s must be from %g to %g, not %g", name,
                   least, most, v);
-    *error = buf;
+    error = buf;
     return false;
   };
-  const OperatorSettings& o = *out;
-  return range("tail_threshold", o.tail_threshold(), 0.01, 1) &&
-         range("credit_share", o.credit_share(), 0, 10) &&
-         range("progress_period_s", o.progress_period_s(), 0.5, 600) &&
-         range("overdue_margin", o.overdue_margin(), 1, 100) &&
-         range("claim_life_s", o.claim_life_s(), 1, 120) &&
-         range("hand_back_after_s", o.hand_back_after_s(), 1, 3600) &&
-         range("service_headroom_cpus", o.service_headroom_cpus(), 0, 1e6) &&
-         range("service_headroom_share", o.service_headroom_share(), 0, 10) &&
-         range("idle_return_boots", o.idle_return_boots(), 0, 1000) &&
-         range("rent_share", o.rent_share(), 0, 10) &&
-         range("refusal_pause_s", o.refusal_pause_s(), 0.5, 3600) &&
-         range("boot_patience", o.boot_patience(), 1, 100) &&
-         range("array_headroom_share", o.array_headroom_share(), 0, 10) &&
-         range("machine_failures", o.machine_failures(), 1, 1000) &&
-         range("job_failures", o.job_failures(), 1, 1000) &&
-         range("starve_s", o.starve_s(), 0, 1e6) &&
-         range("consolidate_after_s", o.consolidate_after_s(), 0, 86400) &&
-         range("team_headroom_cpus", o.team_headroom_cpus(), 0, 1e6) &&
-         range("image_headroom_cpus", o.image_headroom_cpus(), 0, 1e6) &&
-         range("batch", o.batch(), 1, 100000) &&
-         range("batch_most", o.batch_most(), o.batch(), 100000);
+  const bool good = range("tail_threshold", o.tail_threshold(), 0.01, 1) &&
+                    range("credit_share", o.credit_share(), 0, 10) &&
+                    range("progress_period_s", o.progress_period_s(), 0.5, 600) &&
+                    range("overdue_margin", o.overdue_margin(), 1, 100) &&
+                    range("claim_life_s", o.claim_life_s(), 1, 120) &&
+                    range("hand_back_after_s", o.hand_back_after_s(), 1, 3600) &&
+                    range("service_headroom_cpus", o.service_headroom_cpus(), 0, 1e6) &&
+                    range("service_headroom_share", o.service_headroom_share(), 0, 10) &&
+                    range("idle_return_boots", o.idle_return_boots(), 0, 1000) &&
+                    range("rent_share", o.rent_share(), 0, 10) &&
+                    range("refusal_pause_s", o.refusal_pause_s(), 0.5, 3600) &&
+                    range("boot_patience", o.boot_patience(), 1, 100) &&
+                    range("array_headroom_share", o.array_headroom_share(), 0, 10) &&
+                    range("machine_failures", o.machine_failures(), 1, 1000) &&
+                    range("job_failures", o.job_failures(), 1, 1000) &&
+                    range("starve_s", o.starve_s(), 0, 1e6) &&
+                    range("consolidate_after_s", o.consolidate_after_s(), 0, 86400) &&
+                    range("team_headroom_cpus", o.team_headroom_cpus(), 0, 1e6) &&
+                    range("image_headroom_cpus", o.image_headroom_cpus(), 0, 1e6) &&
+                    range("batch", o.batch(), 1, 100000) &&
+                    range("batch_most", o.batch_most(), o.batch(), 100000);
+  if (!good) return Error<SettingsFault>{SettingsFault::kBadField, std::move(error)};
+  return o;
 }
 
 }  // namespace troutlink
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "base/micros.h"
+#include "base/result.h"
 #include "config/operator.pb.h"
 
 namespace troutlink {
@@ -32,7 +33,13 @@
 };
 
 struct Objective {
-  std::string kind;
+  enum class Kind {
+    kOther,     // not one that we know; ignored
+    kWait,      // starts within `within`
+    kFinished,  // ends within `within`
+    kDeadline,  // ends within `times` its deadline
+  };
+  Kind kind = Kind::kOther;
   std::string job_class;
   Micros within = 0;
   double share = 0;
@@ -71,9 +78,13 @@
   int shard_count() const { return static_cast<int>(labels.size()); }
 };
 
-// Each returns nothing and one clear line in `*error` when the text is of no use.
-std::optional<Settings> ParseSettings(const std::string& json, std::string* error);
-bool ParseOperatorSettings(const std::string& text, OperatorSettings* out, std::string* error);
+enum class SettingsFault {
+  kSyntax,    // not JSON, or not operators' settings in protobuf text format
+  kBadField,  // a field is missing or out of its range
+};
+Result<Settings, SettingsFault> ParseSettings(const std::string& json);
+Result<OperatorSettings, SettingsFault> ParseOperatorSettings(const std::string& text);
+// Nothing when the text is not IPv4:port.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
 }  // namespace troutlink
--- a/src/core/commit.cc
+++ b/src/core/commit.cc
@@ -81,7 +81,7 @@
     if (job == nullptr || job->record.state != JobState::kOpen) continue;
     JobRecord record = job->record;
     record.state = JobState::kDone;
-    txn.conditions.emplace_back(JobKey(id), job->version);
+    txn.conditions.push_back({JobKey(id), job->version});
     plan->jobs.erase(id);
     txn.writes.push_back({JobKey(id), EncodeJob(record), 0, false});
   }
@@ -92,7 +92,7 @@
     JobRecord record = job->record;
     record.shard_id = to;
     ++record.moves;
-    txn.conditions.emplace_back(JobKey(id), job->version);
+    txn.conditions.push_back({JobKey(id), job->version});
     plan->jobs.erase(id);
     txn.writes.push_back({JobKey(id), EncodeJob(record), 0, false});
     ++counters_.job_moves;
@@ -148,12 +148,12 @@
   }
   shard.cleanup_at = 0;
   shard.committed_at = now;
-  txn.conditions.emplace_back(LeadershipKey(shard_id), shard.epoch);
+  txn.conditions.push_back({LeadershipKey(shard_id), shard.epoch});
   auto all_chunks = [this, &txn](int other_id) {
     const Shard& leader = shards_[static_cast<size_t>(other_id)];
-    if (leader.chunks.count(0) == 0) txn.conditions.emplace_back(AssignmentKey(other_id, 0), 0);
+    if (leader.chunks.count(0) == 0) txn.conditions.push_back({AssignmentKey(other_id, 0), 0});
     for (const auto& [i, chunk] : leader.chunks) {
-      txn.conditions.emplace_back(AssignmentKey(other_id, i), chunk.version);
+      txn.conditions.push_back({AssignmentKey(other_id, i), chunk.version});
     }
   };
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
@@ -162,7 +162,7 @@
   }
   for (const std::string& id : plan->jobs) {
     const JobEntry* job = FindJob(id);
-    txn.conditions.emplace_back(JobKey(id), job == nullptr ? 0 : job->version);
+    txn.conditions.push_back({JobKey(id), job == nullptr ? 0 : job->version});
   }
   if (plan->progress) {
     shard.progress_dirty = false;
--- a/src/core/forwarding.cc
+++ b/src/core/forwarding.cc
@@ -115,7 +115,7 @@
     // tells us as one of its cancels.
     std::optional<JobStatus> status;
     if (answer.status == 200) status = wire::DecodeJobStatus(answer.body);
-    if (status && status->state == "cancelled") LearnCancellation(now, status->id);
+    if (status && status->state == JobPhase::kCancelled) LearnCancellation(now, status->id);
     Answer(request, static_cast<int>(answer.status), answer.body);
   } else if (open->second.refused) {
     const Reply refusal = open->second.refusal;
--- a/src/core/leadership.cc
+++ b/src/core/leadership.cc
@@ -83,14 +83,14 @@
   if (!write_budget_.Take(now, 1)) return;
   shard.acquiring = true;
   StateTxn txn;
-  txn.conditions.emplace_back(LeadershipKey(shard_id), shard.leadership_version);
+  txn.conditions.push_back({LeadershipKey(shard_id), shard.leadership_version});
   // The assignment table must be the one that we know.
   if (shard.chunks.count(0) == 0) {
-    txn.conditions.emplace_back(AssignmentKey(shard_id, 0), 0);
+    txn.conditions.push_back({AssignmentKey(shard_id, 0), 0});
     txn.writes.push_back({AssignmentKey(shard_id, 0), EncodeChunk(AssignmentTable(), 0), 0, false});
   }
   for (const auto& [index, chunk] : shard.chunks)
-    txn.conditions.emplace_back(AssignmentKey(shard_id, index), chunk.version);
+    txn.conditions.push_back({AssignmentKey(shard_id, index), chunk.version});
   txn.writes.push_back({LeadershipKey(shard_id), EncodeLeadership({settings_.label, boot_}),
                         session_lease_.id(), false});
   counters_.puts += txn.writes.size();
@@ -212,7 +212,7 @@
   if (!write_budget_.Take(now, 1)) return;
   shard.releasing = true;
   StateTxn txn;
-  txn.conditions.emplace_back(LeadershipKey(shard_id), shard.epoch);
+  txn.conditions.push_back({LeadershipKey(shard_id), shard.epoch});
   txn.writes.push_back({LeadershipKey(shard_id), "", 0, true});
   ++counters_.puts;
   Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kStateTimeout,
--- a/src/core/placing.cc
+++ b/src/core/placing.cc
@@ -27,9 +27,11 @@
   if (spec.deadline > 0) out.push_back(spec.deadline - spec.estimate);
   for (const Objective& o : settings_.objectives) {
     if (o.job_class != spec.job_class) continue;
-    if (o.kind == "wait" && o.within > 0) out.push_back(o.within);
-    if (o.kind == "finished" && o.within > 0) out.push_back(o.within - spec.estimate);
-    if (o.kind == "deadline" && spec.deadline > 0) {
+    if (o.kind == Objective::Kind::kWait && o.within > 0) out.push_back(o.within);
+    if (o.kind == Objective::Kind::kFinished && o.within > 0) {
+      out.push_back(o.within - spec.estimate);
+    }
+    if (o.kind == Objective::Kind::kDeadline && spec.deadline > 0) {
       out.push_back(static_cast<Micros>(o.times * static_cast<double>(spec.deadline)) -
                     spec.estimate);
     }
--- a/src/core/queries.cc
+++ b/src/core/queries.cc
@@ -15,8 +15,8 @@
 constexpr double kQueryReserve = 8;  // requests that a question leaves to the rest
 constexpr int kMaxCancelTries = 4;
 
-std::string_view StateName(JobState state) {
-  return state == JobState::kDone ? "done" : "cancelled";
+JobPhase PhaseOf(JobState state) {
+  return state == JobState::kDone ? JobPhase::kDone : JobPhase::kCancelled;
 }
 }  // namespace
 
@@ -57,7 +57,7 @@
     batch.push_back(std::move(query));
   }
   StateTxn txn;
-  for (const auto& [id, version] : versions) txn.conditions.emplace_back(JobKey(id), version);
+  for (const auto& [id, version] : versions) txn.conditions.push_back({JobKey(id), version});
   query_busy_ = true;
   Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
        [this, batch](Micros answered, int status, const std::string& body) {
@@ -112,7 +112,7 @@
   out.id = id;
   const JobRecord& record = entry.record;
   if (record.state != JobState::kOpen) {
-    out.state = StateName(record.state);
+    out.state = PhaseOf(record.state);
     out.done = record.state == JobState::kDone ? record.spec.tasks : 0;
     return out;
   }
@@ -127,7 +127,7 @@
     auto placed = shard.use.jobs.find(id);
     if (placed != shard.use.jobs.end()) out.running = placed->second;
   }
-  out.state = out.running > 0 ? "running" : "queued";
+  out.state = out.running > 0 ? JobPhase::kRunning : JobPhase::kQueued;
   return out;
 }
 
@@ -162,7 +162,7 @@
     return;
   }
   if (entry->record.state != JobState::kOpen) {
-    Answer(query.request, 200, wire::EncodeJobState(query.id, StateName(entry->record.state)));
+    Answer(query.request, 200, wire::EncodeJobState(query.id, PhaseOf(entry->record.state)));
     return;
   }
   if (++query.tries > kMaxCancelTries || !StateFresh(now)) {
@@ -173,7 +173,7 @@
   JobRecord record = entry->record;
   record.state = JobState::kCancelled;
   StateTxn txn;
-  txn.conditions.emplace_back(JobKey(query.id), entry->version);
+  txn.conditions.push_back({JobKey(query.id), entry->version});
   txn.writes.push_back({JobKey(query.id), EncodeJob(record), 0, false});
   ++counters_.puts;
   Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
@@ -191,7 +191,7 @@
     // Peers must be able to hear of it before the user does.
     next_heartbeat_ = now;
     ApplyPut(now, write.key, write.value, reply->revision);
-    Answer(query.request, 200, wire::EncodeJobState(query.id, "cancelled"));
+    Answer(query.request, 200, wire::EncodeJobState(query.id, JobPhase::kCancelled));
   } else if (status == 409) {
     FetchJob(now, query.id);
     Poll(now, query);
--- a/src/core/records.cc
+++ b/src/core/records.cc
@@ -85,8 +85,7 @@
   job.shard_id = static_cast<int>(*shard_id);
   job.state = static_cast<JobState>(*state);
   if (const Json* spec = wire::Find(*doc, "spec")) {
-    std::string why;
-    std::optional<JobSpec> parsed = wire::DecodeSpec(*spec, &why);
+    wire::SpecResult parsed = wire::DecodeSpec(*spec);
     if (!parsed) return std::nullopt;
     job.spec = std::move(*parsed);
     job.submitted = static_cast<Micros>(submitted.value_or(0));
--- a/src/core/submissions.cc
+++ b/src/core/submissions.cc
@@ -25,10 +25,9 @@
 
 void Core::Submit(Micros now, const Request& request) {
   ++counters_.submissions;
-  std::string why;
-  std::optional<JobSpec> spec = wire::DecodeSubmission(request.body, &why);
+  wire::SpecResult spec = wire::DecodeSubmission(request.body);
   if (!spec) {
-    Answer(request.id, 400, wire::EncodeError(why));
+    Answer(request.id, 400, wire::EncodeError(spec.error().text));
     return;
   }
   Query query;
@@ -41,6 +40,7 @@
     return;
   }
   // What can never run is told so at once, also in trouble: it needs the types alone.
+  std::string why;
   if (!types_.empty()) why = NeverRuns(*spec);
   if (!why.empty()) {
     Answer(request.id, 422, wire::EncodeError(why));
@@ -75,7 +75,7 @@
   record.submitted = WallNow(now);
   record.spec = std::move(spec);
   StateTxn txn;
-  txn.conditions.emplace_back(JobKey(query.id), 0);
+  txn.conditions.push_back({JobKey(query.id), 0});
   txn.writes.push_back({JobKey(query.id), EncodeJob(record), 0, false});
   ++counters_.puts;
   Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
@@ -88,7 +88,7 @@
            ApplyPut(answered, write.key, write.value, reply->revision);
            ++counters_.accepted;
            Log(LogLine::Level::kDebug, "accepted " + query.id + " " + job_class);
-           Answer(query.request, 201, wire::EncodeJobState(query.id, "queued"));
+           Answer(query.request, 201, wire::EncodeJobState(query.id, JobPhase::kQueued));
          } else if (status == 409) {
            // Known already: by a repeat, a late copy or another node.
            FetchJob(answered, query.id);
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -43,14 +43,14 @@
 
 // Reads and checks both files; says in one line what is wrong.
 bool Load(const std::string& config, const std::string& op, troutlink::Settings* out) {
-  std::string text, error;
+  std::string text;
   if (!ReadFile(config, &text)) {
     std::cerr << "troutlink: cannot read " << config << "\n";
     return false;
   }
-  std::optional<troutlink::Settings> settings = troutlink::ParseSettings(text, &error);
+  auto settings = troutlink::ParseSettings(text);
   if (!settings) {
-    std::cerr << "troutlink: " << config << ": " << error << "\n";
+    std::cerr << "troutlink: " << config << ": " << settings.error().text << "\n";
     return false;
   }
   if (!op.empty()) {
@@ -58,10 +58,12 @@
       std::cerr << "troutlink: cannot read " << op << "\n";
       return false;
     }
-    if (!troutlink::ParseOperatorSettings(text, &settings->op, &error)) {
-      std::cerr << "troutlink: " << op << ": " << error << "\n";
+    auto operators = troutlink::ParseOperatorSettings(text);
+    if (!operators) {
+      std::cerr << "troutlink: " << op << ": " << operators.error().text << "\n";
       return false;
     }
+    settings->op = std::move(*operators);
   }
   *out = std::move(*settings);
   return true;
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -8,6 +8,7 @@
 #include <string_view>
 #include <vector>
 
+#include "base/result.h"
 #include "wire/pack.h"
 #include "wire/types.h"
 
@@ -22,12 +23,17 @@
 inline constexpr std::string_view kShowPath = "/show";
 
 // Users.
-std::optional<JobSpec> DecodeSubmission(std::string_view body, std::string* why);
+enum class SubmissionFault {
+  kNotAMap,   // not one MessagePack map keyed by text
+  kBadField,  // a field is missing or out of its range
+};
+using SpecResult = Result<JobSpec, SubmissionFault>;
+SpecResult DecodeSubmission(std::string_view body);
 std::string EncodeSubmission(const JobSpec& spec);
 // The same as a part of another document.
-std::optional<JobSpec> DecodeSpec(const Json& map, std::string* why);
+SpecResult DecodeSpec(const Json& map);
 Json EncodeSpec(const JobSpec& spec);
-std::string EncodeJobState(std::string_view id, std::string_view state);
+std::string EncodeJobState(std::string_view id, JobPhase state);
 std::string EncodeJobStatus(const JobStatus& status);
 // Of either answer; counts that are missing are 0.
 std::optional<JobStatus> DecodeJobStatus(std::string_view body);
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -64,9 +64,12 @@
 
 enum class JobState { kOpen, kDone, kCancelled };
 
+// What users are told of a job: an open one is queued until a task runs.
+enum class JobPhase { kQueued, kRunning, kDone, kCancelled };
+
 struct JobStatus {
   std::string id;
-  std::string state;  // queued, running, done, cancelled
+  JobPhase state = JobPhase::kQueued;
   int64_t done = 0;
   int64_t running = 0;
 };
@@ -153,8 +156,14 @@
   bool erase = false;
 };
 
+// Holds while the key has this version; version 0: while there is no such key.
+struct StateCondition {
+  std::string key;
+  uint64_t version = 0;
+};
+
 struct StateTxn {
-  std::vector<std::pair<std::string, uint64_t>> conditions;
+  std::vector<StateCondition> conditions;
   std::vector<StateWrite> writes;
 };
 
--- a/src/wire/user.cc
+++ b/src/wire/user.cc
@@ -46,18 +46,19 @@
 
 int64_t Milli(double v) { return std::llround(std::ceil(v * 1000.0 - 1e-6)); }
 
-}  // namespace
+constexpr std::string_view kPhases[] = {"queued", "running", "done", "cancelled"};
 
-std::optional<JobSpec> DecodeSubmission(std::string_view body, std::string* why) {
-  std::optional<Json> doc = UnpackStrict(body);
-  if (!doc || !doc->is_object()) {
-    *why = "body must be one MessagePack map keyed by text";
-    return std::nullopt;
+std::string_view PhaseWord(JobPhase phase) { return kPhases[static_cast<size_t>(phase)]; }
+
+std::optional<JobPhase> ParsePhase(std::string_view word) {
+  for (size_t i = 0; i < std::size(kPhases); ++i) {
+    if (kPhases[i] == word) return static_cast<JobPhase>(i);
   }
-  return DecodeSpec(*doc, why);
+  return std::nullopt;
 }
 
-std::optional<JobSpec> DecodeSpec(const Json& m, std::string* why) {
+// Nothing, and why, when a field is missing or out of its range.
+std::optional<JobSpec> ReadSpec(const Json& m, std::string* why) {
   JobSpec s;
   std::string kind, priority;
   double cpus = 0, gpus = 0, memory = 0, gb = 0, estimate = 0, checkpoint = 0, save = 0;
@@ -136,6 +137,24 @@
   return s;
 }
 
+}  // namespace
+
+SpecResult DecodeSubmission(std::string_view body) {
+  std::optional<Json> doc = UnpackStrict(body);
+  if (!doc || !doc->is_object()) {
+    return Error<SubmissionFault>{SubmissionFault::kNotAMap,
+                                  "body must be one MessagePack map keyed by text"};
+  }
+  return DecodeSpec(*doc);
+}
+
+SpecResult DecodeSpec(const Json& map) {
+  std::string why;
+  std::optional<JobSpec> spec = ReadSpec(map, &why);
+  if (!spec) return Error<SubmissionFault>{SubmissionFault::kBadField, std::move(why)};
+  return std::move(*spec);
+}
+
 Json EncodeSpec(const JobSpec& s) {
   static constexpr const char* kPriorities[] = {"low", "standard", "urgent", "critical"};
   Json m = {{"name_id", s.id},
@@ -165,13 +184,13 @@
 
 std::string EncodeSubmission(const JobSpec& s) { return Pack(EncodeSpec(s)); }
 
-std::string EncodeJobState(std::string_view id, std::string_view state) {
-  return Pack(Json{{"name_id", id}, {"status", state}});
+std::string EncodeJobState(std::string_view id, JobPhase state) {
+  return Pack(Json{{"name_id", id}, {"status", PhaseWord(state)}});
 }
 
 std::string EncodeJobStatus(const JobStatus& s) {
-  return Pack(
-      Json{{"name_id", s.id}, {"status", s.state}, {"done", s.done}, {"running", s.running}});
+  return Pack(Json{
+      {"name_id", s.id}, {"status", PhaseWord(s.state)}, {"done", s.done}, {"running", s.running}});
 }
 
 std::optional<JobStatus> DecodeJobStatus(std::string_view body) {
@@ -185,9 +204,10 @@
     auto it = doc->find(name);
     return it != doc->end() && it->is_number_integer() ? it->get<int64_t>() : int64_t{0};
   };
-  JobStatus s{text("name_id"), text("status"), count("done"), count("running")};
-  if (s.id.empty() || s.state.empty()) return std::nullopt;
-  return s;
+  std::string id = text("name_id");
+  std::optional<JobPhase> phase = ParsePhase(text("status"));
+  if (id.empty() || !phase) return std::nullopt;
+  return JobStatus{std::move(id), *phase, count("done"), count("running")};
 }
 
 std::string EncodeError(std::string_view why) { return Pack(Json{{"error", why}}); }
--- a/tests/codec_units_test.cc
+++ b/tests/codec_units_test.cc
@@ -74,12 +74,9 @@
   JobSpec spec = Spec(3);
   spec.job_class = "c";
   spec.team = "t";
-  std::string why;
-  ASSERT_TRUE(wire::DecodeSubmission(wire::EncodeSubmission(spec), &why)) << why;
-  Damage(wire::EncodeSubmission(spec), [](const std::string& s) {
-    std::string w;
-    wire::DecodeSubmission(s, &w);
-  });
+  auto decoded = wire::DecodeSubmission(wire::EncodeSubmission(spec));
+  ASSERT_TRUE(decoded) << decoded.error().text;
+  Damage(wire::EncodeSubmission(spec), [](const std::string& s) { wire::DecodeSubmission(s); });
   Report report;
   report.machine = "n-1";
   report.session = report.seq = 1;
@@ -112,9 +109,12 @@
   spec.job_class = "c";
   spec.team = "t";
   Json good = *wire::Unpack(wire::EncodeSubmission(spec));
-  auto refused = [](const Json& j) {
-    std::string why;
-    return !wire::DecodeSubmission(wire::Pack(j), &why) && !why.empty();
+  auto refused_with = [](const std::string& body, wire::SubmissionFault fault) {
+    auto decoded = wire::DecodeSubmission(body);
+    return !decoded && decoded.error().code == fault && !decoded.error().text.empty();
+  };
+  auto refused = [&refused_with](const Json& j) {
+    return refused_with(wire::Pack(j), wire::SubmissionFault::kBadField);
   };
   EXPECT_FALSE(refused(good));
   for (const auto& [key, value] : good.items()) {
@@ -137,15 +137,17 @@
   j = good;
   j["surprise"] = 1;  // unknown fields are ignored
   EXPECT_FALSE(refused(j));
-  std::string why;
+  auto not_a_map = [&refused_with](const std::string& body) {
+    return refused_with(body, wire::SubmissionFault::kNotAMap);
+  };
   std::string packed = wire::Pack(good);
-  EXPECT_FALSE(wire::DecodeSubmission(packed + "x", &why));         // trailing bytes
-  EXPECT_FALSE(wire::DecodeSubmission(wire::Pack(Json(3)), &why));  // not a map
-  EXPECT_FALSE(wire::DecodeSubmission(std::string("\x82\xa1") + "a\x01\xa1" + "a\x02", &why));
-  EXPECT_FALSE(wire::DecodeSubmission(std::string("\x81\x01\x02"), &why));  // key is no text
+  EXPECT_TRUE(not_a_map(packed + "x"));         // trailing bytes
+  EXPECT_TRUE(not_a_map(wire::Pack(Json(3))));  // not a map
+  EXPECT_TRUE(not_a_map(std::string("\x82\xa1") + "a\x01\xa1" + "a\x02"));
+  EXPECT_TRUE(not_a_map(std::string("\x81\x01\x02")));  // key is no text
   j = good;
   j["extra"] = Json::binary({1, 2});
-  EXPECT_TRUE(refused(j));
+  EXPECT_TRUE(not_a_map(wire::Pack(j)));
 }
 
 }  // namespace
--- a/tests/settings_units_test.cc
+++ b/tests/settings_units_test.cc
@@ -8,17 +8,24 @@
 namespace {
 
 TEST(Settings, OperatorsFileIsCheckedWithLineAndRange) {
-  OperatorSettings op;
-  std::string error;
-  EXPECT_TRUE(ParseOperatorSettings("tail_threshold: 0.8 # half", &op, &error));
-  EXPECT_DOUBLE_EQ(op.tail_threshold(), 0.8);
-  EXPECT_FALSE(ParseOperatorSettings("tail_treshold: 0.8", &op, &error));
-  EXPECT_NE(error.find("line 1"), std::string::npos);
-  EXPECT_FALSE(ParseOperatorSettings("tail_threshold: 7", &op, &error));
-  EXPECT_NE(error.find("tail_threshold must be from"), std::string::npos);
-  EXPECT_FALSE(ParseSettings("{}", &error));
-  EXPECT_NE(error.find("label is missing"), std::string::npos);
-  EXPECT_FALSE(ParseSettings("nonsense", &error));
+  auto good = ParseOperatorSettings("tail_threshold: 0.8 # half");
+  ASSERT_TRUE(good) << good.error().text;
+  EXPECT_DOUBLE_EQ(good->tail_threshold(), 0.8);
+  auto misspelt = ParseOperatorSettings("tail_treshold: 0.8");
+  ASSERT_FALSE(misspelt);
+  EXPECT_EQ(misspelt.error().code, SettingsFault::kSyntax);
+  EXPECT_NE(misspelt.error().text.find("line 1"), std::string::npos);
+  auto too_large = ParseOperatorSettings("tail_threshold: 7");
+  ASSERT_FALSE(too_large);
+  EXPECT_EQ(too_large.error().code, SettingsFault::kBadField);
+  EXPECT_NE(too_large.error().text.find("tail_threshold must be from"), std::string::npos);
+  auto empty = ParseSettings("{}");
+  ASSERT_FALSE(empty);
+  EXPECT_EQ(empty.error().code, SettingsFault::kBadField);
+  EXPECT_NE(empty.error().text.find("label is missing"), std::string::npos);
+  auto nonsense = ParseSettings("nonsense");
+  ASSERT_FALSE(nonsense);
+  EXPECT_EQ(nonsense.error().code, SettingsFault::kSyntax);
 }
 
 TEST(Ids, JobIdsHaveOneForm) {
--- a/tests/users.cc
+++ b/tests/users.cc
@@ -7,8 +7,7 @@
 
 void Users::NoteRequest(const std::string& target, const std::string& body) {
   if (target == "/api/jobs") {
-    std::string why;
-    auto spec = wire::DecodeSubmission(body, &why);
+    auto spec = wire::DecodeSubmission(body);
     if (spec) jobs_[spec->id].spec = *spec;
   } else if (auto path = wire::ParseJobPath(target); path && path->abort) {
     auto known = jobs_.find(path->id);
@@ -22,8 +21,7 @@
   UserAnswer answer;
   answer.submission = target == "/api/jobs";
   if (answer.submission) {
-    std::string why;
-    auto spec = wire::DecodeSubmission(body, &why);
+    auto spec = wire::DecodeSubmission(body);
     if (!spec) return std::nullopt;
     answer.id = spec->id;
   } else if (auto path = wire::ParseJobPath(target)) {
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -64,8 +64,7 @@
                                  {"area", "z1"},
                                  {"endpoint", "10.0.0." + std::to_string(j + 1) + ":8081"}});
     }
-    std::string error;
-    nodes_[i].settings = *ParseSettings(doc.dump(), &error);
+    nodes_[i].settings = *ParseSettings(doc.dump());
   }
 }
 
