--- a/src/base/micros.h
+++ b/src/base/micros.h
@@ -1,4 +1,5 @@
-// Times are whole microseconds everywhere in the code.
+// The unit of time: whole microseconds, both for points in time and for durations.
+// A point in time counts from an origin that its clock defines.
 #ifndef TROUTLINK_BASE_MICROS_H_
 #define TROUTLINK_BASE_MICROS_H_
 
@@ -7,22 +8,30 @@
 
 namespace troutlink {
 
+// A point in time or a duration.
 using Micros = int64_t;
 
+// One millisecond.
 inline constexpr Micros kMilli = 1000;
+// One second.
 inline constexpr Micros kSecond = 1000 * kMilli;
 
-// Steady clocks of different machines drift apart by up to 0.05%.
+// Steady clocks of different machines differ in rate by up to 0.05%.
 inline constexpr int64_t kDriftPerMillion = 500;
 
+// `seconds` rounded to whole microseconds.
 inline Micros FromSeconds(double seconds) {
   return static_cast<Micros>(std::llround(seconds * 1e6));
 }
-inline double ToSeconds(Micros t) { return static_cast<double>(t) / 1e6; }
 
-// The longest and shortest that `t` on a foreign clock may take on ours.
-inline Micros Longest(Micros t) { return t + t * kDriftPerMillion / 1000000; }
-inline Micros Shortest(Micros t) { return t - t * kDriftPerMillion / 1000000; }
+// `time` in seconds.
+inline double ToSeconds(Micros time) { return static_cast<double>(time) / 1e6; }
+
+// The longest that a duration on another machine's clock may take on this one's.
+inline Micros Longest(Micros duration) { return duration + duration * kDriftPerMillion / 1000000; }
+
+// The shortest that a duration on another machine's clock may take on this one's.
+inline Micros Shortest(Micros duration) { return duration - duration * kDriftPerMillion / 1000000; }
 
 }  // namespace troutlink
 
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -26,33 +26,33 @@
 }
 
 std::string GetText(const Json& map, const std::string& where, const char* key) {
-  const Json& v = Get(map, where, key);
-  if (!v.is_string() || v.get_ref<const std::string&>().empty()) {
+  const Json& value = Get(map, where, key);
+  if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
     throw Bad(where + "." + key + " must be a text");
   }
-  return v.get<std::string>();
+  return value.get<std::string>();
 }
 
 double GetNumber(const Json& map, const std::string& where, const char* key, double least,
                  double most) {
-  const Json& v = Get(map, where, key);
-  if (!v.is_number() || !(v.get<double>() >= least) || !(v.get<double>() <= most)) {
+  const Json& value = Get(map, where, key);
+  if (!value.is_number() || !(value.get<double>() >= least) || !(value.get<double>() <= most)) {
     throw Bad(where + "." + key + " must be a number from " + std::to_string(least) + " to " +
               std::to_string(most));
   }
-  return v.get<double>();
+  return value.get<double>();
 }
 
 Endpoint GetEndpoint(const Json& map, const std::string& where, const char* key) {
-  std::optional<Endpoint> e = ParseEndpoint(GetText(map, where, key));
-  if (!e) throw Bad(where + "." + key + " must be IPv4:port");
-  return *e;
+  std::optional<Endpoint> endpoint = ParseEndpoint(GetText(map, where, key));
+  if (!endpoint) throw Bad(where + "." + key + " must be IPv4:port");
+  return *endpoint;
 }
 
 const Json& GetList(const Json& map, const std::string& where, const char* key) {
-  const Json& v = Get(map, where, key);
-  if (!v.is_array()) throw Bad(where + "." + key + " must be a list");
-  return v;
+  const Json& value = Get(map, where, key);
+  if (!value.is_array()) throw Bad(where + "." + key + " must be a list");
+  return value;
 }
 
 Objective::Kind ParseObjectiveKind(const std::string& word) {
@@ -62,81 +62,85 @@
   return Objective::Kind::kOther;
 }
 
-int64_t Milli(double v) { return std::llround(v * 1000); }
+int64_t Milli(double value) { return std::llround(value * 1000); }
 
 Settings Read(const Json& doc) {
-  Settings s;
-  s.label = GetText(doc, "settings", "label");
-  s.zone = GetText(doc, "settings", "area");
-  s.serve = GetEndpoint(doc, "settings", "serve_on");
-  s.mesh = GetEndpoint(doc, "settings", "mesh_addr");
-  for (const Json& j : GetList(doc, "settings", "siblings")) {
-    s.siblings.push_back({GetText(j, "siblings[]", "label"), GetText(j, "siblings[]", "area"),
-                          GetEndpoint(j, "siblings[]", "endpoint")});
+  Settings settings;
+  settings.label = GetText(doc, "settings", "label");
+  settings.zone = GetText(doc, "settings", "area");
+  settings.serve = GetEndpoint(doc, "settings", "serve_on");
+  settings.mesh = GetEndpoint(doc, "settings", "mesh_addr");
+  for (const Json& sibling : GetList(doc, "settings", "siblings")) {
+    settings.siblings.push_back({GetText(sibling, "siblings[]", "label"),
+                                 GetText(sibling, "siblings[]", "area"),
+                                 GetEndpoint(sibling, "siblings[]", "endpoint")});
   }
   const Json& external = Get(doc, "settings", "external");
-  s.cloud = GetEndpoint(external, "external", "cloud");
-  s.state = GetEndpoint(external, "external", "state");
+  settings.cloud = GetEndpoint(external, "external", "cloud");
+  settings.state = GetEndpoint(external, "external", "state");
   const Json& facts = Get(doc, "settings", "facts");
-  for (const Json& z : GetList(facts, "facts", "zones")) {
-    if (!z.is_string()) throw Bad("facts.zones must hold texts");
-    s.zones.push_back(z.get<std::string>());
+  for (const Json& zone : GetList(facts, "facts", "zones")) {
+    if (!zone.is_string()) throw Bad("facts.zones must hold texts");
+    settings.zones.push_back(zone.get<std::string>());
   }
-  for (const Json& t : GetList(facts, "facts", "teams")) {
+  for (const Json& map : GetList(facts, "facts", "teams")) {
     Team team;
-    team.name = GetText(t, "teams[]", "name");
-    team.cpus = Milli(GetNumber(t, "teams[]", "cpus", 0, 1e9));
-    team.cpus_max = Milli(GetNumber(t, "teams[]", "cpus_max", 0, 1e9));
-    team.gpus = Milli(GetNumber(t, "teams[]", "gpus", 0, 1e9));
-    team.gpus_max = Milli(GetNumber(t, "teams[]", "gpus_max", 0, 1e9));
-    s.teams.push_back(std::move(team));
+    team.name = GetText(map, "teams[]", "name");
+    team.cpus = Milli(GetNumber(map, "teams[]", "cpus", 0, 1e9));
+    team.cpus_max = Milli(GetNumber(map, "teams[]", "cpus_max", 0, 1e9));
+    team.gpus = Milli(GetNumber(map, "teams[]", "gpus", 0, 1e9));
+    team.gpus_max = Milli(GetNumber(map, "teams[]", "gpus_max", 0, 1e9));
+    settings.teams.push_back(std::move(team));
   }
   if (auto it = facts.find("objectives"); it != facts.end() && it->is_array()) {
-    for (const Json& o : *it) {
-      if (!o.is_object()) continue;
+    for (const Json& map : *it) {
+      if (!map.is_object()) continue;
       Objective objective;
-      objective.kind = ParseObjectiveKind(o.value("kind", ""));
-      objective.job_class = o.value("class", "");
-      if (auto w = o.find("within_s"); w != o.end() && w->is_number()) {
-        objective.within = FromSeconds(w->get<double>());
+      objective.kind = ParseObjectiveKind(map.value("kind", ""));
+      objective.job_class = map.value("class", "");
+      if (auto number = map.find("within_s"); number != map.end() && number->is_number()) {
+        objective.within = FromSeconds(number->get<double>());
       }
-      if (auto w = o.find("times"); w != o.end() && w->is_number()) {
-        objective.times = w->get<double>();
+      if (auto number = map.find("times"); number != map.end() && number->is_number()) {
+        objective.times = number->get<double>();
       }
-      if (auto w = o.find("share"); w != o.end() && w->is_number()) {
-        objective.share = w->get<double>();
+      if (auto number = map.find("share"); number != map.end() && number->is_number()) {
+        objective.share = number->get<double>();
       }
-      s.objectives.push_back(std::move(objective));
+      settings.objectives.push_back(std::move(objective));
     }
   }
   const Json& workers = Get(facts, "facts", "workers");
-  s.report = FromSeconds(GetNumber(workers, "workers", "report_s", 0.01, 3600));
-  s.lease = FromSeconds(GetNumber(workers, "workers", "lease_s", 0.1, 36000));
-  s.cancel = FromSeconds(GetNumber(workers, "workers", "cancel_s", 0.1, 360000));
-  if (s.cancel <= s.lease) throw Bad("workers.cancel_s must be longer than workers.lease_s");
+  settings.report = FromSeconds(GetNumber(workers, "workers", "report_s", 0.01, 3600));
+  settings.lease = FromSeconds(GetNumber(workers, "workers", "lease_s", 0.1, 36000));
+  settings.cancel = FromSeconds(GetNumber(workers, "workers", "cancel_s", 0.1, 360000));
+  if (settings.cancel <= settings.lease) {
+    throw Bad("workers.cancel_s must be longer than workers.lease_s");
+  }
   const Json& state = Get(facts, "facts", "state");
-  s.state_rps = GetNumber(state, "state", "rps", 1, 1e9);
-  s.write_rps = GetNumber(state, "state", "write_rps", 1, 1e9);
-  s.value_bytes = static_cast<int64_t>(1024 * GetNumber(state, "state", "value_kb", 1, 1e6));
-  s.txn_ops = static_cast<int>(GetNumber(state, "state", "txn_ops", 4, 1e6));
+  settings.state_rps = GetNumber(state, "state", "rps", 1, 1e9);
+  settings.write_rps = GetNumber(state, "state", "write_rps", 1, 1e9);
+  settings.value_bytes = static_cast<int64_t>(1024 * GetNumber(state, "state", "value_kb", 1, 1e6));
+  settings.txn_ops = static_cast<int>(GetNumber(state, "state", "txn_ops", 4, 1e6));
   const Json& cloud = Get(facts, "facts", "cloud");
-  s.cloud_rps = GetNumber(cloud, "cloud", "rps", 0.01, 1e9);
-  s.list_lag = FromSeconds(GetNumber(cloud, "cloud", "list_lag_s", 0, 3600));
+  settings.cloud_rps = GetNumber(cloud, "cloud", "rps", 0.01, 1e9);
+  settings.list_lag = FromSeconds(GetNumber(cloud, "cloud", "list_lag_s", 0, 3600));
   const Json& resources = Get(facts, "facts", "resources");
-  s.cores = GetNumber(resources, "resources", "cores", 0.001, 1e6);
-  s.mem_mb = GetNumber(resources, "resources", "mem_mb", 1, 1e9);
-  s.fd_limit = static_cast<int>(GetNumber(resources, "resources", "fd_limit", 32, 1e8));
-  s.time_bound = FromSeconds(GetNumber(facts, "facts", "time_bound_ms", 0, 1e9) / 1000);
-
-  s.labels.push_back(s.label);
-  for (const Sibling& sibling : s.siblings) s.labels.push_back(sibling.label);
-  std::sort(s.labels.begin(), s.labels.end());
-  if (std::adjacent_find(s.labels.begin(), s.labels.end()) != s.labels.end()) {
+  settings.cores = GetNumber(resources, "resources", "cores", 0.001, 1e6);
+  settings.mem_mb = GetNumber(resources, "resources", "mem_mb", 1, 1e9);
+  settings.fd_limit = static_cast<int>(GetNumber(resources, "resources", "fd_limit", 32, 1e8));
+  settings.time_bound = FromSeconds(GetNumber(facts, "facts", "time_bound_ms", 0, 1e9) / 1000);
+
+  settings.labels.push_back(settings.label);
+  for (const Sibling& sibling : settings.siblings) settings.labels.push_back(sibling.label);
+  std::sort(settings.labels.begin(), settings.labels.end());
+  if (std::adjacent_find(settings.labels.begin(), settings.labels.end()) != settings.labels.end()) {
     throw Bad("settings.siblings: two controllers have the same label");
   }
-  s.own_shard =
-      static_cast<int>(std::find(s.labels.begin(), s.labels.end(), s.label) - s.labels.begin());
-  return s;
+  settings.own_shard =
+      static_cast<int>(std::find(settings.labels.begin(), settings.labels.end(), settings.label) -
+                       settings.labels.begin());
+  return settings;
 }
 
 class FirstError : public google::protobuf::io::ErrorCollector {
@@ -155,17 +159,17 @@
 std::optional<Endpoint> ParseEndpoint(const std::string& text) {
   size_t colon = text.rfind(':');
   if (colon == std::string::npos || text.size() - colon > 6) return std::nullopt;
-  Endpoint e;
-  e.text = text;
-  e.host = text.substr(0, colon);
+  Endpoint endpoint;
+  endpoint.text = text;
+  endpoint.host = text.substr(0, colon);
   in_addr addr;
-  if (inet_pton(AF_INET, e.host.c_str(), &addr) != 1) return std::nullopt;
-  for (size_t i = colon + 1; i < text.size(); ++i) {
-    if (text[i] < '0' || text[i] > '9') return std::nullopt;
-    e.port = e.port * 10 + (text[i] - '0');
+  if (inet_pton(AF_INET, endpoint.host.c_str(), &addr) != 1) return std::nullopt;
+  for (size_t index = colon + 1; index < text.size(); ++index) {
+    if (text[index] < '0' || text[index] > '9') return std::nullopt;
+    endpoint.port = endpoint.port * 10 + (text[index] - '0');
   }
-  if (e.port < 1 || e.port > 65535) return std::nullopt;
-  return e;
+  if (endpoint.port < 1 || endpoint.port > 65535) return std::nullopt;
+  return endpoint;
 }
 
 Result<Settings, SettingsFault> ParseSettings(const std::string& json) {
@@ -175,51 +179,51 @@
   }
   try {
     return Read(doc);
-  } catch (const std::exception& e) {
-    return Error<SettingsFault>{SettingsFault::kBadField, e.what()};
+  } catch (const std::exception& exception) {
+    return Error<SettingsFault>{SettingsFault::kBadField, exception.what()};
   }
 }
 
 Result<OperatorSettings, SettingsFault> ParseOperatorSettings(const std::string& text) {
-  OperatorSettings o;
+  OperatorSettings settings;
   google::protobuf::TextFormat::Parser parser;
   FirstError first;
   parser.RecordErrorsTo(&first);
-  if (!parser.ParseFromString(text, &o)) {
+  if (!parser.ParseFromString(text, &settings)) {
     return Error<SettingsFault>{SettingsFault::kSyntax, "operator settings: " + first.text};
   }
   std::string error;
-  auto range = [&error](const char* name, double v, double least, double most) {
-    if (v >= least && v <= most) return true;
+  auto range = [&error](const char* name, double value, double least, double most) {
+    if (value >= least && value <= most) return true;
     char buf[200];
     std::snprintf(buf, sizeof buf, "operator settings: %s must be from %g to %g, not %g", name,
-                  least, most, v);
+                  least, most, value);
     error = buf;
     return false;
   };
-  const bool good = range("tail_threshold", o.tail_threshold(), 0.01, 1) &&
-                    range("credit_share", o.credit_share(), 0, 10) &&
-                    range("progress_period_s", o.progress_period_s(), 0.5, 600) &&
-                    range("overdue_margin", o.overdue_margin(), 1, 100) &&
-                    range("claim_life_s", o.claim_life_s(), 1, 120) &&
-                    range("hand_back_after_s", o.hand_back_after_s(), 1, 3600) &&
-                    range("service_headroom_cpus", o.service_headroom_cpus(), 0, 1e6) &&
-                    range("service_headroom_share", o.service_headroom_share(), 0, 10) &&
-                    range("idle_return_boots", o.idle_return_boots(), 0, 1000) &&
-                    range("rent_share", o.rent_share(), 0, 10) &&
-                    range("refusal_pause_s", o.refusal_pause_s(), 0.5, 3600) &&
-                    range("boot_patience", o.boot_patience(), 1, 100) &&
-                    range("array_headroom_share", o.array_headroom_share(), 0, 10) &&
-                    range("machine_failures", o.machine_failures(), 1, 1000) &&
-                    range("job_failures", o.job_failures(), 1, 1000) &&
-                    range("starve_s", o.starve_s(), 0, 1e6) &&
-                    range("consolidate_after_s", o.consolidate_after_s(), 0, 86400) &&
-                    range("team_headroom_cpus", o.team_headroom_cpus(), 0, 1e6) &&
-                    range("image_headroom_cpus", o.image_headroom_cpus(), 0, 1e6) &&
-                    range("batch", o.batch(), 1, 100000) &&
-                    range("batch_most", o.batch_most(), o.batch(), 100000);
+  const bool good = range("tail_threshold", settings.tail_threshold(), 0.01, 1) &&
+                    range("credit_share", settings.credit_share(), 0, 10) &&
+                    range("progress_period_s", settings.progress_period_s(), 0.5, 600) &&
+                    range("overdue_margin", settings.overdue_margin(), 1, 100) &&
+                    range("claim_life_s", settings.claim_life_s(), 1, 120) &&
+                    range("hand_back_after_s", settings.hand_back_after_s(), 1, 3600) &&
+                    range("service_headroom_cpus", settings.service_headroom_cpus(), 0, 1e6) &&
+                    range("service_headroom_share", settings.service_headroom_share(), 0, 10) &&
+                    range("idle_return_boots", settings.idle_return_boots(), 0, 1000) &&
+                    range("rent_share", settings.rent_share(), 0, 10) &&
+                    range("refusal_pause_s", settings.refusal_pause_s(), 0.5, 3600) &&
+                    range("boot_patience", settings.boot_patience(), 1, 100) &&
+                    range("array_headroom_share", settings.array_headroom_share(), 0, 10) &&
+                    range("machine_failures", settings.machine_failures(), 1, 1000) &&
+                    range("job_failures", settings.job_failures(), 1, 1000) &&
+                    range("starve_s", settings.starve_s(), 0, 1e6) &&
+                    range("consolidate_after_s", settings.consolidate_after_s(), 0, 86400) &&
+                    range("team_headroom_cpus", settings.team_headroom_cpus(), 0, 1e6) &&
+                    range("image_headroom_cpus", settings.image_headroom_cpus(), 0, 1e6) &&
+                    range("batch", settings.batch(), 1, 100000) &&
+                    range("batch_most", settings.batch_most(), settings.batch(), 100000);
   if (!good) return Error<SettingsFault>{SettingsFault::kBadField, std::move(error)};
-  return o;
+  return settings;
 }
 
 }  // namespace troutlink
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,5 @@
-// The platform's settings file (JSON) and operators' settings (protobuf text).
+// The platform's settings file (JSON) and operators' settings (protobuf text), checked
+// and converted to plain structs.
 #ifndef TROUTLINK_CONFIG_SETTINGS_H_
 #define TROUTLINK_CONFIG_SETTINGS_H_
 
@@ -12,18 +13,21 @@
 
 namespace troutlink {
 
+// An address to listen at or connect to.
 struct Endpoint {
   std::string host;  // IPv4
   int port = 0;
   std::string text;  // as written
 };
 
+// Another controller of the deployment.
 struct Sibling {
   std::string label;
   std::string zone;
   Endpoint mesh;
 };
 
+// A team and its limits.
 struct Team {
   std::string name;
   int64_t cpus = 0;      // guaranteed, thousandths
@@ -32,6 +36,7 @@
   int64_t gpus_max = 0;
 };
 
+// What the platform expects for the jobs of a class.
 struct Objective {
   enum class Kind {
     kOther,     // not one that we know; ignored
@@ -46,6 +51,7 @@
   double times = 1;  // of the deadline
 };
 
+// Everything that a controller is told at its start. Amounts are checked to be in range.
 struct Settings {
   std::string label;
   std::string zone;
@@ -72,19 +78,23 @@
   Micros time_bound = 0;
   OperatorSettings op;
 
-  // All controllers' labels in order; the index is a controller's own part.
+  // All controllers' labels in order; the index of a label is that controller's shard.
   std::vector<std::string> labels;
   int own_shard = 0;
+  // One shard for each controller.
   int shard_count() const { return static_cast<int>(labels.size()); }
 };
 
+// Why a settings file is refused.
 enum class SettingsFault {
   kSyntax,    // not JSON, or not operators' settings in protobuf text format
   kBadField,  // a field is missing or out of its range
 };
+// The platform's settings in a JSON document.
 Result<Settings, SettingsFault> ParseSettings(const std::string& json);
+// Operators' settings in protobuf text format.
 Result<OperatorSettings, SettingsFault> ParseOperatorSettings(const std::string& text);
-// Nothing when the text is not IPv4:port.
+// The address in a text of the form IPv4:port; nothing for any other text.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
 }  // namespace troutlink
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -18,6 +18,7 @@
 #include "core/cancellations.h"
 #include "core/health.h"
 #include "core/io.h"
+#include "core/offer_health.h"
 #include "core/placement.h"
 #include "core/records.h"
 #include "core/replica_feed.h"
@@ -661,6 +662,7 @@
     int refusals = 0;
   };
   std::map<std::string, Pause> offer_pause_;  // type/zone/kind
+  OfferHealth offers_;
   struct RentalState {
     bool sent = false;
     bool done = false;
--- a/src/core/fleet.cc
+++ b/src/core/fleet.cc
@@ -53,6 +53,7 @@
       probe.spot = spot;
       if (!Allowed(spec, spread, probe)) continue;
       double cost = (spot ? t.spot_price : t.price) / std::min(per, 64);
+      cost *= offers_.PriceFactor(now, OfferKey(t.name, zone, spot));
       // Evenly over the zones, where it costs nothing.
       auto have = in_zone.find(zone);
       if (have != in_zone.end()) cost *= 1.0 + 0.001 * have->second;
--- a/src/core/silence.cc
+++ b/src/core/silence.cc
@@ -86,6 +86,7 @@
     }
     if (lost && !without_state && !info.give_up && !m.leaving) {
       info.give_up = true;
+      if (info.first_heard == 0) offers_.NeverCameUp(now, OfferKey(m.type, m.zone, m.spot));
       Log(LogLine::Level::kInfo, "giving up " + name +
                                      (info.failed    ? ": failed"
                                       : info.missing ? ": no longer listed"
--- a/src/core/worker_state.cc
+++ b/src/core/worker_state.cc
@@ -64,6 +64,7 @@
     info->first_heard = now;
     info->no_direct_before = 0;
     info->direct_failures = 0;
+    offers_.CameUp(now, OfferKey(report.type, report.zone, report.spot));
   }
   if (!report.addr.empty()) info->addr = report.addr;
   if (report.notice) {
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -1,3 +1,5 @@
+// The command line of the controller: `serve` runs it, `check` only reads both settings
+// files.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
--- a/src/http/message.cc
+++ b/src/http/message.cc
@@ -6,36 +6,37 @@
 namespace troutlink::http {
 namespace {
 
-bool EqualsNoCase(std::string_view a, std::string_view b) {
-  return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
-           return std::tolower(static_cast<unsigned char>(x)) ==
-                  std::tolower(static_cast<unsigned char>(y));
+bool EqualsNoCase(std::string_view left, std::string_view right) {
+  return left.size() == right.size() &&
+         std::equal(left.begin(), left.end(), right.begin(), [](char left_char, char right_char) {
+           return std::tolower(static_cast<unsigned char>(left_char)) ==
+                  std::tolower(static_cast<unsigned char>(right_char));
          });
 }
 
-std::string_view Trim(std::string_view s) {
-  while (!s.empty() && (s.front() == ' ' || s.front() == '\t')) s.remove_prefix(1);
-  while (!s.empty() && (s.back() == ' ' || s.back() == '\t')) s.remove_suffix(1);
-  return s;
+std::string_view Trim(std::string_view text) {
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+  return text;
 }
 
-bool IsToken(std::string_view s) {
-  if (s.empty()) return false;
-  return std::all_of(s.begin(), s.end(), [](char c) {
-    return std::isalnum(static_cast<unsigned char>(c)) ||
-           std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
+bool IsToken(std::string_view text) {
+  if (text.empty()) return false;
+  return std::all_of(text.begin(), text.end(), [](char letter) {
+    return std::isalnum(static_cast<unsigned char>(letter)) ||
+           std::string_view("!#$%&'*+-.^_`|~").find(letter) != std::string_view::npos;
   });
 }
 
 // Decimal digits only, at most nine of them: no sign, no overflow.
-bool ParseNumber(std::string_view s, size_t* out) {
-  if (s.empty() || s.size() > 9) return false;
-  size_t n = 0;
-  for (char c : s) {
-    if (c < '0' || c > '9') return false;
-    n = n * 10 + static_cast<size_t>(c - '0');
+bool ParseNumber(std::string_view text, size_t* out) {
+  if (text.empty() || text.size() > 9) return false;
+  size_t number = 0;
+  for (char digit : text) {
+    if (digit < '0' || digit > '9') return false;
+    number = number * 10 + static_cast<size_t>(digit - '0');
   }
-  *out = n;
+  *out = number;
   return true;
 }
 
@@ -63,29 +64,29 @@
 }  // namespace
 
 bool Parser::ParseStartLine(std::string_view line) {
-  size_t a = line.find(' ');
-  if (a == std::string_view::npos) return false;
+  size_t first_space = line.find(' ');
+  if (first_space == std::string_view::npos) return false;
   if (kind_ == Kind::kRequest) {
-    size_t b = line.find(' ', a + 1);
-    if (b == std::string_view::npos) return false;
-    std::string_view version = line.substr(b + 1);
+    size_t second_space = line.find(' ', first_space + 1);
+    if (second_space == std::string_view::npos) return false;
+    std::string_view version = line.substr(second_space + 1);
     if (version != "HTTP/1.1" && version != "HTTP/1.0") {
       error_status_ = version.substr(0, 5) == "HTTP/" ? 505 : 400;
       return false;
     }
-    head_.method = line.substr(0, a);
-    head_.target = line.substr(a + 1, b - a - 1);
+    head_.method = line.substr(0, first_space);
+    head_.target = line.substr(first_space + 1, second_space - first_space - 1);
     head_.close = version == "HTTP/1.0";
     if (!IsToken(head_.method)) return false;
     if (head_.target.empty() || head_.target[0] != '/') return false;
     return std::all_of(head_.target.begin(), head_.target.end(),
-                       [](char c) { return c > 0x20 && c < 0x7f; });
+                       [](char letter) { return letter > 0x20 && letter < 0x7f; });
   }
   if (line.substr(0, 7) != "HTTP/1.") return false;
   size_t status = 0;
-  if (!ParseNumber(line.substr(a + 1, 3), &status) || status < 100) return false;
+  if (!ParseNumber(line.substr(first_space + 1, 3), &status) || status < 100) return false;
   head_.status = static_cast<int>(status);
-  head_.close = line.substr(0, a) == "HTTP/1.0";
+  head_.close = line.substr(0, first_space) == "HTTP/1.0";
   return true;
 }
 
@@ -110,12 +111,12 @@
     std::string_view name = line.substr(0, colon);
     std::string_view value = Trim(line.substr(colon + 1));
     if (EqualsNoCase(name, "content-length")) {
-      size_t n = 0;
-      if (!ParseNumber(value, &n)) return Fail(400);
+      size_t number = 0;
+      if (!ParseNumber(value, &number)) return Fail(400);
       // Two differing lengths are how requests get smuggled past a proxy.
-      if (have_length && n != body_len_) return Fail(400);
+      if (have_length && number != body_len_) return Fail(400);
       have_length = true;
-      body_len_ = n;
+      body_len_ = number;
     } else if (EqualsNoCase(name, "transfer-encoding")) {
       if (!EqualsNoCase(value, "chunked")) return Fail(501);
       chunked_ = true;
@@ -123,8 +124,8 @@
       if (EqualsNoCase(value, "close")) head_.close = true;
       if (EqualsNoCase(value, "keep-alive")) head_.close = false;
     } else if (EqualsNoCase(name, "retry-after")) {
-      size_t n = 0;
-      if (ParseNumber(value, &n)) head_.retry_after_s = static_cast<int>(n);
+      size_t number = 0;
+      if (ParseNumber(value, &number)) head_.retry_after_s = static_cast<int>(number);
     }
   }
   if (chunked_ && have_length) return Fail(400);
@@ -160,10 +161,11 @@
     }
     size_t len = 0;
     size_t digits = 0;
-    for (size_t i = pos; i < eol && buffer_[i] != ';'; ++i, ++digits) {
-      unsigned char c = static_cast<unsigned char>(buffer_[i]);
-      if (!std::isxdigit(c) || digits >= 7) return Fail(400);
-      len = len * 16 + static_cast<size_t>(std::isdigit(c) ? c - '0' : std::tolower(c) - 'a' + 10);
+    for (size_t index = pos; index < eol && buffer_[index] != ';'; ++index, ++digits) {
+      unsigned char digit = static_cast<unsigned char>(buffer_[index]);
+      if (!std::isxdigit(digit) || digits >= 7) return Fail(400);
+      len = len * 16 +
+            static_cast<size_t>(std::isdigit(digit) ? digit - '0' : std::tolower(digit) - 'a' + 10);
     }
     if (digits == 0) return Fail(400);
     if (body.size() + len > limits_.body) return Fail(413);
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 messages and an incremental parser for both directions.
+// HTTP/1.1 messages, an incremental parser for requests and responses, and writers
+// for both. Nothing here does I/O: callers pass bytes in and out.
 #ifndef TROUTLINK_HTTP_MESSAGE_H_
 #define TROUTLINK_HTTP_MESSAGE_H_
 
@@ -8,6 +9,7 @@
 
 namespace troutlink::http {
 
+// One request or response; fields of the other direction keep their defaults.
 struct Message {
   // Requests.
   std::string method;
@@ -20,25 +22,31 @@
   int retry_after_s = 0;  // responses: Retry-After
 };
 
+// The longest head and body that a parser accepts, in bytes.
 struct Limits {
   size_t head = size_t{8} * 1024;
   size_t body = size_t{64} * 1024;
 };
 
-// Feeds on bytes in pieces of any size and yields one message at a time.
+// Takes bytes in pieces of any size and gives one message at a time.
 class Parser {
  public:
+  // Which direction the bytes are of.
   enum class Kind { kRequest, kResponse };
+  // More bytes are needed; a message is complete; the bytes are not acceptable.
   enum class State { kMore, kMessage, kError };
 
+  // Accepts messages of `kind` up to `limits`.
   Parser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
 
-  // Appends bytes. The caller bounds what it reads at a time.
+  // Appends bytes to parse. The caller bounds what it reads at a time.
   void Feed(std::string_view bytes) { buffer_.append(bytes); }
-  // Tries to complete a message. After kError the connection is of no use;
-  // `error_status()` is what a server should answer.
+  // Tries to complete a message and writes it to `out` for kMessage. After kError the
+  // connection must be closed.
   State Next(Message* out);
+  // After kError: the status that a server should answer.
   int error_status() const { return error_status_; }
+  // Whether no bytes wait to be parsed.
   bool idle() const { return buffer_.empty(); }
 
  private:
@@ -60,8 +68,11 @@
   int error_status_ = 400;
 };
 
+// A request with a MessagePack body, ready to send.
 std::string WriteRequest(std::string_view method, std::string_view target, std::string_view host,
                          std::string_view body);
+// A response with a MessagePack body, ready to send; `retry_after_s` 0 leaves out
+// Retry-After.
 std::string WriteResponse(int status, std::string_view body, bool close, int retry_after_s);
 
 }  // namespace troutlink::http
--- a/src/mesh/codec.cc
+++ b/src/mesh/codec.cc
@@ -16,110 +16,112 @@
   kPong = 7,
 };
 
-void PutText(std::string* out, std::string_view s) {
-  PutVarint(out, s.size());
-  out->append(s);
+void PutText(std::string* out, std::string_view text) {
+  PutVarint(out, text.size());
+  out->append(text);
 }
 
-bool GetText(std::string_view* in, std::string* s) {
-  uint64_t n = 0;
-  if (!GetVarint(in, &n) || n > in->size()) return false;
-  s->assign(in->substr(0, n));
-  in->remove_prefix(n);
+bool GetText(std::string_view* in, std::string* text) {
+  uint64_t size = 0;
+  if (!GetVarint(in, &size) || size > in->size()) return false;
+  text->assign(in->substr(0, size));
+  in->remove_prefix(size);
   return true;
 }
 
-bool GetLength(std::string_view* in, uint64_t* n) {
+bool GetLength(std::string_view* in, uint64_t* length) {
   // Every item takes at least a byte: a longer list is a lie.
-  return GetVarint(in, n) && *n <= in->size() && *n <= kMaxItems;
+  return GetVarint(in, length) && *length <= in->size() && *length <= kMaxItems;
 }
 
-void PutHeartbeat(std::string* out, const Heartbeat& g) {
-  PutVarint(out, g.seq);
-  PutVarint(out, g.state_age_us);
-  PutVarint(out, g.epochs.size());
-  for (const ShardEpoch& c : g.epochs) {
-    PutVarint(out, c.shard_id);
-    PutVarint(out, c.revision);
-    PutText(out, c.leader);
+void PutHeartbeat(std::string* out, const Heartbeat& heartbeat) {
+  PutVarint(out, heartbeat.seq);
+  PutVarint(out, heartbeat.state_age_us);
+  PutVarint(out, heartbeat.epochs.size());
+  for (const ShardEpoch& epoch : heartbeat.epochs) {
+    PutVarint(out, epoch.shard_id);
+    PutVarint(out, epoch.revision);
+    PutText(out, epoch.leader);
   }
-  PutVarint(out, g.cancels.size());
-  for (const std::string& c : g.cancels) PutText(out, c);
-  PutVarint(out, g.cancels_from);
-  PutVarint(out, g.seen);
-  PutVarint(out, g.wanted.size());
-  for (uint64_t p : g.wanted) PutVarint(out, p);
-  PutVarint(out, g.cached_images.size());
-  for (const CachedImages& w : g.cached_images) {
-    PutText(out, w.machine);
-    PutVarint(out, w.images.size());
-    for (const std::string& image : w.images) PutText(out, image);
+  PutVarint(out, heartbeat.cancels.size());
+  for (const std::string& job : heartbeat.cancels) PutText(out, job);
+  PutVarint(out, heartbeat.cancels_from);
+  PutVarint(out, heartbeat.seen);
+  PutVarint(out, heartbeat.wanted.size());
+  for (uint64_t shard_id : heartbeat.wanted) PutVarint(out, shard_id);
+  PutVarint(out, heartbeat.cached_images.size());
+  for (const CachedImages& cached : heartbeat.cached_images) {
+    PutText(out, cached.machine);
+    PutVarint(out, cached.images.size());
+    for (const std::string& image : cached.images) PutText(out, image);
   }
-  PutVarint(out, g.silent_machines.size());
-  for (const SilentMachine& q : g.silent_machines) {
-    PutText(out, q.machine);
-    PutVarint(out, q.silent_us);
+  PutVarint(out, heartbeat.silent_machines.size());
+  for (const SilentMachine& silent : heartbeat.silent_machines) {
+    PutText(out, silent.machine);
+    PutVarint(out, silent.silent_us);
   }
 }
 
-bool GetHeartbeat(std::string_view* in, Heartbeat* g) {
-  uint64_t n = 0;
-  if (!GetVarint(in, &g->seq) || !GetVarint(in, &g->state_age_us) || !GetLength(in, &n)) {
+bool GetHeartbeat(std::string_view* in, Heartbeat* heartbeat) {
+  uint64_t length = 0;
+  if (!GetVarint(in, &heartbeat->seq) || !GetVarint(in, &heartbeat->state_age_us) ||
+      !GetLength(in, &length)) {
     return false;
   }
-  g->epochs.resize(n);
-  for (ShardEpoch& c : g->epochs) {
-    if (!GetVarint(in, &c.shard_id) || !GetVarint(in, &c.revision) || !GetText(in, &c.leader)) {
+  heartbeat->epochs.resize(length);
+  for (ShardEpoch& epoch : heartbeat->epochs) {
+    if (!GetVarint(in, &epoch.shard_id) || !GetVarint(in, &epoch.revision) ||
+        !GetText(in, &epoch.leader)) {
       return false;
     }
   }
-  if (!GetLength(in, &n)) return false;
-  g->cancels.resize(n);
-  for (std::string& c : g->cancels) {
-    if (!GetText(in, &c)) return false;
+  if (!GetLength(in, &length)) return false;
+  heartbeat->cancels.resize(length);
+  for (std::string& job : heartbeat->cancels) {
+    if (!GetText(in, &job)) return false;
   }
-  if (!GetVarint(in, &g->cancels_from) || !GetVarint(in, &g->seen)) return false;
-  if (!GetLength(in, &n)) return false;
-  g->wanted.resize(n);
-  for (uint64_t& p : g->wanted) {
-    if (!GetVarint(in, &p)) return false;
+  if (!GetVarint(in, &heartbeat->cancels_from) || !GetVarint(in, &heartbeat->seen)) return false;
+  if (!GetLength(in, &length)) return false;
+  heartbeat->wanted.resize(length);
+  for (uint64_t& shard_id : heartbeat->wanted) {
+    if (!GetVarint(in, &shard_id)) return false;
   }
-  if (!GetLength(in, &n)) return false;
-  g->cached_images.resize(n);
-  for (CachedImages& w : g->cached_images) {
-    if (!GetText(in, &w.machine) || !GetLength(in, &n)) return false;
-    w.images.resize(n);
-    for (std::string& image : w.images) {
+  if (!GetLength(in, &length)) return false;
+  heartbeat->cached_images.resize(length);
+  for (CachedImages& cached : heartbeat->cached_images) {
+    if (!GetText(in, &cached.machine) || !GetLength(in, &length)) return false;
+    cached.images.resize(length);
+    for (std::string& image : cached.images) {
       if (!GetText(in, &image)) return false;
     }
   }
-  if (!GetLength(in, &n)) return false;
-  g->silent_machines.resize(n);
-  for (SilentMachine& q : g->silent_machines) {
-    if (!GetText(in, &q.machine) || !GetVarint(in, &q.silent_us)) return false;
+  if (!GetLength(in, &length)) return false;
+  heartbeat->silent_machines.resize(length);
+  for (SilentMachine& silent : heartbeat->silent_machines) {
+    if (!GetText(in, &silent.machine) || !GetVarint(in, &silent.silent_us)) return false;
   }
   return true;
 }
 
 }  // namespace
 
-void PutVarint(std::string* out, uint64_t v) {
-  while (v >= 0x80) {
-    out->push_back(static_cast<char>((v & 0x7f) | 0x80));
-    v >>= 7;
+void PutVarint(std::string* out, uint64_t value) {
+  while (value >= 0x80) {
+    out->push_back(static_cast<char>((value & 0x7f) | 0x80));
+    value >>= 7;
   }
-  out->push_back(static_cast<char>(v));
+  out->push_back(static_cast<char>(value));
 }
 
-bool GetVarint(std::string_view* in, uint64_t* v) {
-  *v = 0;
+bool GetVarint(std::string_view* in, uint64_t* value) {
+  *value = 0;
   for (int shift = 0; shift < 64; shift += 7) {
     if (in->empty()) return false;
-    uint8_t b = static_cast<uint8_t>(in->front());
+    uint8_t byte = static_cast<uint8_t>(in->front());
     in->remove_prefix(1);
-    if (shift == 63 && b > 1) return false;
-    *v |= static_cast<uint64_t>(b & 0x7f) << shift;
-    if ((b & 0x80) == 0) return true;
+    if (shift == 63 && byte > 1) return false;
+    *value |= static_cast<uint64_t>(byte & 0x7f) << shift;
+    if ((byte & 0x80) == 0) return true;
   }
   return false;
 }
@@ -164,38 +166,40 @@
   if (!GetVarint(&in, &kind)) return std::nullopt;
   switch (kind) {
     case kPing: {
-      Ping m;
-      if (GetHeartbeat(&in, &m)) return m;
+      Ping message;
+      if (GetHeartbeat(&in, &message)) return message;
       break;
     }
     case kPong: {
-      Pong m;
-      if (GetHeartbeat(&in, &m)) return m;
+      Pong message;
+      if (GetHeartbeat(&in, &message)) return message;
       break;
     }
     case kRelay: {
-      Relay m;
-      if (GetVarint(&in, &m.id) && GetText(&in, &m.body)) return m;
+      Relay message;
+      if (GetVarint(&in, &message.id) && GetText(&in, &message.body)) return message;
       break;
     }
     case kRelayReply: {
-      RelayReply m;
-      if (GetVarint(&in, &m.id) && GetVarint(&in, &m.status) && GetText(&in, &m.body)) return m;
+      RelayReply message;
+      if (GetVarint(&in, &message.id) && GetVarint(&in, &message.status) &&
+          GetText(&in, &message.body))
+        return message;
       break;
     }
     case kForward: {
-      Forward m;
-      if (GetVarint(&in, &m.id) && GetText(&in, &m.method) && GetText(&in, &m.target) &&
-          GetText(&in, &m.body)) {
-        return m;
+      Forward message;
+      if (GetVarint(&in, &message.id) && GetText(&in, &message.method) &&
+          GetText(&in, &message.target) && GetText(&in, &message.body)) {
+        return message;
       }
       break;
     }
     case kForwardReply: {
-      ForwardReply m;
-      if (GetVarint(&in, &m.id) && GetVarint(&in, &m.status) && GetVarint(&in, &m.retry_after_s) &&
-          GetText(&in, &m.body)) {
-        return m;
+      ForwardReply message;
+      if (GetVarint(&in, &message.id) && GetVarint(&in, &message.status) &&
+          GetVarint(&in, &message.retry_after_s) && GetText(&in, &message.body)) {
+        return message;
       }
       break;
     }
@@ -207,18 +211,18 @@
 bool Framer::Next(std::string* frame, bool* bad) {
   *bad = false;
   std::string_view in = buffer_;
-  uint64_t n = 0;
-  if (!GetVarint(&in, &n)) {
+  uint64_t size = 0;
+  if (!GetVarint(&in, &size)) {
     *bad = buffer_.size() >= 10;
     return false;
   }
-  if (n > kMaxFrame) {
+  if (size > kMaxFrame) {
     *bad = true;
     return false;
   }
-  if (in.size() < n) return false;
-  frame->assign(in.substr(0, n));
-  buffer_.erase(0, buffer_.size() - in.size() + n);
+  if (in.size() < size) return false;
+  frame->assign(in.substr(0, size));
+  buffer_.erase(0, buffer_.size() - in.size() + size);
   return true;
 }
 
--- a/src/mesh/codec.h
+++ b/src/mesh/codec.h
@@ -1,4 +1,4 @@
-// What the controllers say to each other, in the project's own varint codec.
+// The messages between controllers and their binary form.
 //
 // A frame is varint(length) and that many bytes: varint(kind), then the
 // message's fields in order. Integers are LEB128 varints, texts and lists are
@@ -15,8 +15,10 @@
 
 namespace troutlink::mesh {
 
+// A frame with a longer content ends the connection.
 inline constexpr size_t kMaxFrame = size_t{256} * 1024;
 
+// Which controller leads a shard, as of a revision of the state service.
 struct ShardEpoch {
   uint64_t shard_id = 0;
   uint64_t revision = 0;
@@ -24,22 +26,22 @@
   bool operator==(const ShardEpoch&) const = default;
 };
 
-// Images of services that a machine of the sender's has.
+// Images of services that are cached on one of the sender's machines.
 struct CachedImages {
   std::string machine;
   std::vector<std::string> images;
   bool operator==(const CachedImages&) const = default;
 };
 
-// A machine of the sender's that has been silent for so long: whoever takes the
-// part over must not count its silence from the takeover.
+// One of the sender's machines that has not reported for this long. A controller that
+// takes over the shard counts the silence from its start, not from the takeover.
 struct SilentMachine {
   std::string machine;
   uint64_t silent_us = 0;
   bool operator==(const SilentMachine&) const = default;
 };
 
-// Sent a few times a second to every peer; a Pong answers each.
+// The content of a Ping and of a Pong.
 struct Heartbeat {
   uint64_t seq = 0;           // of the ping, echoed by the pong
   uint64_t state_age_us = 0;  // since the state service last answered us
@@ -55,7 +57,9 @@
   bool operator==(const Heartbeat&) const = default;
 };
 
+// Sent a few times a second to every peer.
 struct Ping : Heartbeat {};
+// Answers a Ping, with its `seq`.
 struct Pong : Heartbeat {};
 
 // A worker's report that reached a node which does not own the machine and
@@ -65,6 +69,7 @@
   std::string body;
   bool operator==(const Relay&) const = default;
 };
+// The answer to the Relay with the same `id`; `status` is an HTTP status.
 struct RelayReply {
   uint64_t id = 0;
   uint64_t status = 0;
@@ -72,7 +77,7 @@
   bool operator==(const RelayReply&) const = default;
 };
 
-// A user's request that the sender cannot decide, and its answer.
+// A user's request that the sender cannot decide.
 struct Forward {
   uint64_t id = 0;
   std::string method;
@@ -80,6 +85,7 @@
   std::string body;
   bool operator==(const Forward&) const = default;
 };
+// The answer to the Forward with the same `id`; `status` is an HTTP status.
 struct ForwardReply {
   uint64_t id = 0;
   uint64_t status = 0;
@@ -88,22 +94,28 @@
   bool operator==(const ForwardReply&) const = default;
 };
 
+// Any message between controllers.
 using Message = std::variant<Ping, Pong, Relay, RelayReply, Forward, ForwardReply>;
 
-void PutVarint(std::string* out, uint64_t v);
-// Advances `in`; false when it ends early or does not fit 64 bits.
-bool GetVarint(std::string_view* in, uint64_t* v);
+// Appends `value` to `out` as a LEB128 varint.
+void PutVarint(std::string* out, uint64_t value);
+// Reads a varint from the front of `in` and advances it; false when it ends early or
+// does not fit 64 bits.
+bool GetVarint(std::string_view* in, uint64_t* value);
 
-// One frame, its length included.
+// `message` as one frame, its length included.
 std::string Encode(const Message& message);
-// The content of a frame without its length.
+// The message in the content of a frame (without its length); nothing when the content
+// is malformed or of an unknown kind.
 std::optional<Message> Decode(std::string_view frame);
 
-// Cuts a byte stream into frames.
+// Splits a stream of bytes into the contents of its frames.
 class Framer {
  public:
+  // Appends bytes of the stream.
   void Feed(std::string_view bytes) { buffer_.append(bytes); }
-  // False when there is no whole frame; `*bad` tells a stream of no use.
+  // Takes the next frame's content; false when there is no whole frame. `*bad` is set
+  // when the stream is malformed and must be closed.
   bool Next(std::string* frame, bool* bad);
 
  private:
--- a/src/runtime/client.cc
+++ b/src/runtime/client.cc
@@ -17,22 +17,22 @@
 }  // namespace
 
 Client::~Client() {
-  for (auto& [raw, c] : connections_) {
-    ev_io_stop(loop_, &c->io);
-    if (c->fd >= 0) close(c->fd);
+  for (auto& [raw, connection] : connections_) {
+    ev_io_stop(loop_, &connection->io);
+    if (connection->fd >= 0) close(connection->fd);
   }
 }
 
-void Client::Watch(Connection* c, int events) {
-  ev_io_stop(loop_, &c->io);
-  ev_io_set(&c->io, c->fd, events);
-  ev_io_start(loop_, &c->io);
+void Client::Watch(Connection* connection, int events) {
+  ev_io_stop(loop_, &connection->io);
+  ev_io_set(&connection->io, connection->fd, events);
+  ev_io_start(loop_, &connection->io);
 }
 
-void Client::Wake(Connection* c) {
-  if (!c->resting) return;
-  c->resting = false;
-  resting_.erase(c->place);
+void Client::Wake(Connection* connection) {
+  if (!connection->resting) return;
+  connection->resting = false;
+  resting_.erase(connection->place);
 }
 
 void Client::Start(const Endpoint& to, int most, bool vital, const Call& call) {
@@ -47,8 +47,8 @@
 void Client::Pump(Pool* pool) {
   while (!pool->waiting.empty()) {
     Connection* free = nullptr;
-    for (Connection* c : pool->all) {
-      if (!c->busy && !c->connecting) free = c;
+    for (Connection* connection : pool->all) {
+      if (!connection->busy && !connection->connecting) free = connection;
     }
     if (free == nullptr) {
       if (static_cast<int>(pool->all.size()) >= pool->most) return;
@@ -80,121 +80,128 @@
   }
 }
 
-void Client::Assign(Connection* c, const Waiting& waiting) {
-  c->busy = true;
-  Wake(c);
-  c->call = waiting.call.id;
-  c->deadline = waiting.deadline;
-  c->out =
-      http::WriteRequest(waiting.call.method, waiting.call.target, c->endpoint, waiting.call.body);
-  c->sent = 0;
-  if (!c->connecting) Watch(c, EV_READ | EV_WRITE);
+void Client::Assign(Connection* connection, const Waiting& waiting) {
+  connection->busy = true;
+  Wake(connection);
+  connection->call = waiting.call.id;
+  connection->deadline = waiting.deadline;
+  connection->out = http::WriteRequest(waiting.call.method, waiting.call.target,
+                                       connection->endpoint, waiting.call.body);
+  connection->sent = 0;
+  if (!connection->connecting) Watch(connection, EV_READ | EV_WRITE);
 }
 
-void Client::Write(Connection* c) {
-  while (c->sent < c->out.size()) {
-    ssize_t n = send(c->fd, c->out.data() + c->sent, c->out.size() - c->sent, MSG_NOSIGNAL);
-    if (n <= 0) {
-      if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-      Finish(c, kNoAnswer, "", false);
+void Client::Write(Connection* connection) {
+  while (connection->sent < connection->out.size()) {
+    ssize_t count = send(connection->fd, connection->out.data() + connection->sent,
+                         connection->out.size() - connection->sent, MSG_NOSIGNAL);
+    if (count <= 0) {
+      if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
+      Finish(connection, kNoAnswer, "", false);
       return;
     }
-    c->sent += static_cast<size_t>(n);
+    connection->sent += static_cast<size_t>(count);
   }
-  c->out.clear();
-  c->sent = 0;
-  Watch(c, EV_READ);
+  connection->out.clear();
+  connection->sent = 0;
+  Watch(connection, EV_READ);
 }
 
-void Client::OnIo(struct ev_loop*, ev_io* w, int events) {
-  auto* c = static_cast<Connection*>(w->data);
-  c->owner->Handle(c, events);
+void Client::OnIo(struct ev_loop*, ev_io* watcher, int events) {
+  auto* connection = static_cast<Connection*>(watcher->data);
+  connection->owner->Handle(connection, events);
 }
 
-void Client::Handle(Connection* c, int events) {
-  if (c->connecting) {
-    if (ConnectError(c->fd) != 0) {
-      Finish(c, kNotSent, "", false);
+void Client::Handle(Connection* connection, int events) {
+  if (connection->connecting) {
+    if (ConnectError(connection->fd) != 0) {
+      Finish(connection, kNotSent, "", false);
       return;
     }
-    c->connecting = false;
-    if (!c->busy) {
-      Watch(c, EV_READ);
+    connection->connecting = false;
+    if (!connection->busy) {
+      Watch(connection, EV_READ);
       return;
     }
-    Write(c);
+    Write(connection);
     return;
   }
   if ((events & EV_READ) != 0) {
     char buffer[16384];
-    ssize_t n = recv(c->fd, buffer, sizeof buffer, 0);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (n <= 0 || !c->busy) {
-      Finish(c, kNoAnswer, "", false);
+    ssize_t count = recv(connection->fd, buffer, sizeof buffer, 0);
+    if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
+    if (count <= 0 || !connection->busy) {
+      Finish(connection, kNoAnswer, "", false);
       return;
     }
-    c->parser.Feed({buffer, static_cast<size_t>(n)});
+    connection->parser.Feed({buffer, static_cast<size_t>(count)});
     http::Message message;
-    switch (c->parser.Next(&message)) {
+    switch (connection->parser.Next(&message)) {
       case http::Parser::State::kMore: break;
-      case http::Parser::State::kError: Finish(c, kNoAnswer, "", false); return;
+      case http::Parser::State::kError: Finish(connection, kNoAnswer, "", false); return;
       case http::Parser::State::kMessage:
-        Finish(c, message.status, std::move(message.body), !message.close && c->parser.idle());
+        Finish(connection, message.status, std::move(message.body),
+               !message.close && connection->parser.idle());
         return;
     }
   }
-  if ((events & EV_WRITE) != 0 && c->busy && !c->out.empty()) Write(c);
+  if ((events & EV_WRITE) != 0 && connection->busy && !connection->out.empty()) Write(connection);
 }
 
-void Client::Finish(Connection* c, int status, std::string body, bool keep) {
-  uint64_t call = c->call;
-  bool had = c->busy;
-  c->busy = false;
-  std::string endpoint = c->endpoint;
+void Client::Finish(Connection* connection, int status, std::string body, bool keep) {
+  uint64_t call = connection->call;
+  bool had = connection->busy;
+  connection->busy = false;
+  std::string endpoint = connection->endpoint;
   if (keep) {
-    c->idle_since = SteadyNow();
-    if (!c->vital && !c->resting) {
-      c->resting = true;
-      c->place = resting_.insert(resting_.end(), c);
+    connection->idle_since = SteadyNow();
+    if (!connection->vital && !connection->resting) {
+      connection->resting = true;
+      connection->place = resting_.insert(resting_.end(), connection);
     }
-    Watch(c, EV_READ);
+    Watch(connection, EV_READ);
   } else {
-    Drop(c);
+    Drop(connection);
   }
   if (had) done_(call, status, std::move(body));
   auto pool = pools_.find(endpoint);
   if (pool != pools_.end()) Pump(&pool->second);
 }
 
-void Client::Drop(Connection* c) {
-  Wake(c);
-  if (!c->vital) --common_;
-  ev_io_stop(loop_, &c->io);
-  close(c->fd);
-  auto pool = pools_.find(c->endpoint);
-  if (pool != pools_.end()) std::erase(pool->second.all, c);
-  connections_.erase(c);
+void Client::Drop(Connection* connection) {
+  Wake(connection);
+  if (!connection->vital) --common_;
+  ev_io_stop(loop_, &connection->io);
+  close(connection->fd);
+  auto pool = pools_.find(connection->endpoint);
+  if (pool != pools_.end()) std::erase(pool->second.all, connection);
+  connections_.erase(connection);
 }
 
 void Client::Tick(Micros now) {
   std::vector<Connection*> late, idle;
-  for (auto& [c, owned] : connections_) {
-    if (c->busy && (now >= c->deadline || (c->connecting && now - c->opened > kConnectTimeout))) {
-      late.push_back(c);
-    } else if (!c->busy && !c->connecting && now - c->idle_since > kIdleTimeout) {
-      idle.push_back(c);
+  for (auto& [connection, owned] : connections_) {
+    if (connection->busy &&
+        (now >= connection->deadline ||
+         (connection->connecting && now - connection->opened > kConnectTimeout))) {
+      late.push_back(connection);
+    } else if (!connection->busy && !connection->connecting &&
+               now - connection->idle_since > kIdleTimeout) {
+      idle.push_back(connection);
     }
   }
-  for (Connection* c : idle) Drop(c);
-  for (Connection* c : late) {
-    if (connections_.count(c) == 0) continue;
+  for (Connection* connection : idle) Drop(connection);
+  for (Connection* connection : late) {
+    if (connections_.count(connection) == 0) continue;
     // Other kept connections to a host that does not answer are as dead.
     std::vector<Connection*> others;
-    for (Connection* o : pools_[c->endpoint].all) {
-      if (o != c && !o->busy && !o->connecting) others.push_back(o);
+    for (Connection* other : pools_[connection->endpoint].all) {
+      if (other != connection && !other->busy && !other->connecting) {
+        others.push_back(other);
+      }
     }
-    for (Connection* o : others) Drop(o);
-    Finish(c, c->connecting ? kNotSent : kNoAnswer, "", false);
+    for (Connection* other : others) Drop(other);
+    Finish(connection, connection->connecting ? kNotSent : kNoAnswer, "", false);
   }
   for (auto it = pools_.begin(); it != pools_.end();) {
     Pool& pool = it->second;
--- a/src/runtime/client.h
+++ b/src/runtime/client.h
@@ -1,4 +1,5 @@
-// HTTP client over pools of kept connections, one request at a time on each.
+// HTTP client. It keeps a pool of connections for each endpoint, runs one request at a
+// time on each and queues the others. All calls come from the event loop's thread.
 #ifndef TROUTLINK_RUNTIME_CLIENT_H_
 #define TROUTLINK_RUNTIME_CLIENT_H_
 
@@ -19,24 +20,27 @@
 
 namespace troutlink::runtime {
 
+// Sends calls and reports the answer of each exactly once.
 class Client {
  public:
-  // Called from the loop, never from within Start().
+  // Receives the answer to a call: an HTTP status, kNoAnswer or kNotSent. Called from the
+  // loop, never from within Start().
   using Done = std::function<void(uint64_t call, int status, std::string body)>;
 
-  // At most `most` connections to endpoints that are not vital: kept ones that are
-  // idle make way for new ones, and calls wait when there are none.
+  // Opens at most `most` connections to endpoints that are not vital: the longest idle
+  // ones are closed for new ones, and calls wait while none is idle.
   Client(struct ev_loop* loop, size_t most, Done done)
       : loop_(loop), most_(most), done_(std::move(done)) {}
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  // `most` connections to this endpoint at a time; further calls queue. Vital ones
-  // do not count towards the limit over all endpoints.
+  // Sends `call` over one of at most `most` connections to `to`, once one is free.
+  // Vital connections do not count towards the limit over all endpoints.
   void Start(const Endpoint& to, int most, bool vital, const Call& call);
-  // Ends what ran out of time; a few times a second.
+  // Ends calls and connections whose time is over; to be called a few times a second.
   void Tick(Micros now);
+  // Open connections of all pools.
   size_t connections() const { return connections_.size(); }
 
  private:
@@ -71,15 +75,15 @@
     std::deque<Waiting> waiting;
   };
 
-  static void OnIo(struct ev_loop* loop, ev_io* w, int events);
-  void Handle(Connection* c, int events);
+  static void OnIo(struct ev_loop* loop, ev_io* watcher, int events);
+  void Handle(Connection* connection, int events);
   void Pump(Pool* pool);
-  void Assign(Connection* c, const Waiting& waiting);
-  void Write(Connection* c);
-  void Finish(Connection* c, int status, std::string body, bool keep);
-  void Drop(Connection* c);
-  void Watch(Connection* c, int events);
-  void Wake(Connection* c);
+  void Assign(Connection* connection, const Waiting& waiting);
+  void Write(Connection* connection);
+  void Finish(Connection* connection, int status, std::string body, bool keep);
+  void Drop(Connection* connection);
+  void Watch(Connection* connection, int events);
+  void Wake(Connection* connection);
 
   struct ev_loop* loop_;
   size_t most_;
--- a/src/runtime/mesh_link.cc
+++ b/src/runtime/mesh_link.cc
@@ -20,17 +20,17 @@
 MeshLink::MeshLink(struct ev_loop* loop, std::string label, const std::vector<Sibling>& siblings,
                    OnMessage on_message)
     : loop_(loop), label_(std::move(label)), on_message_(std::move(on_message)) {
-  for (const Sibling& s : siblings) {
-    Outgoing& o = outgoing_[s.label];
-    o.owner = this;
-    o.to = s.mesh;
-    o.io.data = &o;
-    ev_init(&o.io, &MeshLink::OnOut);
+  for (const Sibling& sibling : siblings) {
+    Outgoing& outgoing = outgoing_[sibling.label];
+    outgoing.owner = this;
+    outgoing.to = sibling.mesh;
+    outgoing.io.data = &outgoing;
+    ev_init(&outgoing.io, &MeshLink::OnOut);
   }
 }
 
 MeshLink::~MeshLink() {
-  for (auto& [label, o] : outgoing_) Close(&o);
+  for (auto& [label, outgoing] : outgoing_) Close(&outgoing);
   while (!incoming_.empty()) Drop(incoming_.begin()->first);
   if (listener_ >= 0) {
     ev_io_stop(loop_, &accept_);
@@ -48,8 +48,8 @@
   return true;
 }
 
-void MeshLink::OnAccept(struct ev_loop*, ev_io* w, int) {
-  auto* self = static_cast<MeshLink*>(w->data);
+void MeshLink::OnAccept(struct ev_loop*, ev_io* watcher, int) {
+  auto* self = static_cast<MeshLink*>(watcher->data);
   int fd = Accept(self->listener_);
   if (fd < 0) return;
   if (self->incoming_.size() >= kMaxIncoming) {
@@ -57,129 +57,131 @@
     return;
   }
   auto owned = std::make_unique<Incoming>();
-  Incoming* c = owned.get();
-  c->owner = self;
-  c->fd = fd;
-  c->io.data = c;
-  ev_init(&c->io, &MeshLink::OnIn);
-  ev_io_set(&c->io, fd, EV_READ);
-  ev_io_start(self->loop_, &c->io);
-  self->incoming_[c] = std::move(owned);
+  Incoming* connection = owned.get();
+  connection->owner = self;
+  connection->fd = fd;
+  connection->io.data = connection;
+  ev_init(&connection->io, &MeshLink::OnIn);
+  ev_io_set(&connection->io, fd, EV_READ);
+  ev_io_start(self->loop_, &connection->io);
+  self->incoming_[connection] = std::move(owned);
 }
 
-void MeshLink::OnIn(struct ev_loop*, ev_io* w, int) {
-  auto* c = static_cast<Incoming*>(w->data);
-  c->owner->Read(c);
+void MeshLink::OnIn(struct ev_loop*, ev_io* watcher, int) {
+  auto* connection = static_cast<Incoming*>(watcher->data);
+  connection->owner->Read(connection);
 }
 
-void MeshLink::Read(Incoming* c) {
+void MeshLink::Read(Incoming* connection) {
   char buffer[16384];
-  ssize_t n = recv(c->fd, buffer, sizeof buffer, 0);
-  if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  if (n <= 0) {
-    Drop(c);
+  ssize_t count = recv(connection->fd, buffer, sizeof buffer, 0);
+  if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
+  if (count <= 0) {
+    Drop(connection);
     return;
   }
-  c->framer.Feed({buffer, static_cast<size_t>(n)});
+  connection->framer.Feed({buffer, static_cast<size_t>(count)});
   std::string frame;
   bool bad = false;
-  while (c->framer.Next(&frame, &bad)) {
-    if (c->from.empty()) {
+  while (connection->framer.Next(&frame, &bad)) {
+    if (connection->from.empty()) {
       if (outgoing_.count(frame) == 0) {
-        Drop(c);
+        Drop(connection);
         return;
       }
-      c->from = frame;
+      connection->from = frame;
       continue;
     }
-    if (std::optional<mesh::Message> message = mesh::Decode(frame)) on_message_(c->from, *message);
+    if (std::optional<mesh::Message> message = mesh::Decode(frame)) {
+      on_message_(connection->from, *message);
+    }
   }
-  if (bad) Drop(c);
+  if (bad) Drop(connection);
 }
 
-void MeshLink::Drop(Incoming* c) {
-  ev_io_stop(loop_, &c->io);
-  close(c->fd);
-  incoming_.erase(c);
+void MeshLink::Drop(Incoming* connection) {
+  ev_io_stop(loop_, &connection->io);
+  close(connection->fd);
+  incoming_.erase(connection);
 }
 
-void MeshLink::Connect(Outgoing* o) {
+void MeshLink::Connect(Outgoing* outgoing) {
   Micros now = SteadyNow();
-  if (now < o->retry_at) return;
-  o->retry_at = now + kRedial;
-  o->fd = Dial(o->to);
-  if (o->fd < 0) return;
-  o->connecting = true;
-  o->opened = o->progress = now;
-  mesh::PutVarint(&o->out, label_.size());
-  o->out.append(label_);
-  ev_io_set(&o->io, o->fd, EV_WRITE);
-  ev_io_start(loop_, &o->io);
+  if (now < outgoing->retry_at) return;
+  outgoing->retry_at = now + kRedial;
+  outgoing->fd = Dial(outgoing->to);
+  if (outgoing->fd < 0) return;
+  outgoing->connecting = true;
+  outgoing->opened = outgoing->progress = now;
+  mesh::PutVarint(&outgoing->out, label_.size());
+  outgoing->out.append(label_);
+  ev_io_set(&outgoing->io, outgoing->fd, EV_WRITE);
+  ev_io_start(loop_, &outgoing->io);
 }
 
-void MeshLink::Close(Outgoing* o) {
-  if (o->fd < 0) return;
-  ev_io_stop(loop_, &o->io);
-  close(o->fd);
-  o->fd = -1;
-  o->connecting = false;
-  o->out.clear();
+void MeshLink::Close(Outgoing* outgoing) {
+  if (outgoing->fd < 0) return;
+  ev_io_stop(loop_, &outgoing->io);
+  close(outgoing->fd);
+  outgoing->fd = -1;
+  outgoing->connecting = false;
+  outgoing->out.clear();
 }
 
-void MeshLink::OnOut(struct ev_loop*, ev_io* w, int events) {
-  auto* o = static_cast<Outgoing*>(w->data);
-  if (o->connecting) {
-    if (ConnectError(o->fd) != 0) {
-      o->owner->Close(o);
+void MeshLink::OnOut(struct ev_loop*, ev_io* watcher, int events) {
+  auto* outgoing = static_cast<Outgoing*>(watcher->data);
+  if (outgoing->connecting) {
+    if (ConnectError(outgoing->fd) != 0) {
+      outgoing->owner->Close(outgoing);
       return;
     }
-    o->connecting = false;
+    outgoing->connecting = false;
   }
   if ((events & EV_READ) != 0) {
     // Nothing is ever said on this side: readable means that it ended.
     char byte;
-    ssize_t n = recv(o->fd, &byte, 1, 0);
-    if (n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR)) {
-      o->owner->Close(o);
+    ssize_t count = recv(outgoing->fd, &byte, 1, 0);
+    if (count == 0 || (count < 0 && errno != EAGAIN && errno != EINTR)) {
+      outgoing->owner->Close(outgoing);
       return;
     }
   }
-  o->owner->Write(o);
+  outgoing->owner->Write(outgoing);
 }
 
-void MeshLink::Write(Outgoing* o) {
-  while (!o->out.empty()) {
-    ssize_t n = send(o->fd, o->out.data(), o->out.size(), MSG_NOSIGNAL);
-    if (n <= 0) {
-      if (n < 0 && (errno == EAGAIN || errno == EINTR)) break;
-      Close(o);
+void MeshLink::Write(Outgoing* outgoing) {
+  while (!outgoing->out.empty()) {
+    ssize_t count = send(outgoing->fd, outgoing->out.data(), outgoing->out.size(), MSG_NOSIGNAL);
+    if (count <= 0) {
+      if (count < 0 && (errno == EAGAIN || errno == EINTR)) break;
+      Close(outgoing);
       return;
     }
-    o->out.erase(0, static_cast<size_t>(n));
-    o->progress = SteadyNow();
+    outgoing->out.erase(0, static_cast<size_t>(count));
+    outgoing->progress = SteadyNow();
   }
-  ev_io_stop(loop_, &o->io);
-  ev_io_set(&o->io, o->fd, o->out.empty() ? EV_READ : EV_READ | EV_WRITE);
-  ev_io_start(loop_, &o->io);
+  ev_io_stop(loop_, &outgoing->io);
+  ev_io_set(&outgoing->io, outgoing->fd, outgoing->out.empty() ? EV_READ : EV_READ | EV_WRITE);
+  ev_io_start(loop_, &outgoing->io);
 }
 
 void MeshLink::Send(const std::string& to, const mesh::Message& message) {
   auto it = outgoing_.find(to);
   if (it == outgoing_.end()) return;
-  Outgoing& o = it->second;
-  if (o.fd < 0) Connect(&o);
-  if (o.fd < 0 || o.out.size() > kMaxBuffered) return;
-  if (o.out.empty()) o.progress = SteadyNow();
-  o.out.append(mesh::Encode(message));
-  if (!o.connecting) Write(&o);
+  Outgoing& outgoing = it->second;
+  if (outgoing.fd < 0) Connect(&outgoing);
+  if (outgoing.fd < 0 || outgoing.out.size() > kMaxBuffered) return;
+  if (outgoing.out.empty()) outgoing.progress = SteadyNow();
+  outgoing.out.append(mesh::Encode(message));
+  if (!outgoing.connecting) Write(&outgoing);
 }
 
 void MeshLink::Tick(Micros now) {
-  for (auto& [label, o] : outgoing_) {
-    if (o.fd < 0) continue;
-    bool slow = o.connecting ? now - o.opened > kConnectTimeout
-                             : !o.out.empty() && now - o.progress > kStalled;
-    if (slow) Close(&o);
+  for (auto& [label, outgoing] : outgoing_) {
+    if (outgoing.fd < 0) continue;
+    bool slow = outgoing.connecting ? now - outgoing.opened > kConnectTimeout
+                                    : !outgoing.out.empty() && now - outgoing.progress > kStalled;
+    if (slow) Close(&outgoing);
   }
 }
 
--- a/src/runtime/mesh_link.h
+++ b/src/runtime/mesh_link.h
@@ -1,5 +1,6 @@
-// Connections between the controllers. Each direction has its own: a node
-// writes only on those it dialled and reads only on those it accepted.
+// TCP connections between controllers. Each direction has its own connection: a node
+// writes only on those that it opened and reads only on those that it accepted. The
+// first frame on a connection holds the sender's label.
 #ifndef TROUTLINK_RUNTIME_MESH_LINK_H_
 #define TROUTLINK_RUNTIME_MESH_LINK_H_
 
@@ -17,19 +18,25 @@
 
 namespace troutlink::runtime {
 
+// Sends messages to the other controllers and receives theirs. A message may be lost,
+// and messages of one sender arrive in order on each connection.
 class MeshLink {
  public:
+  // Receives each message with the label that its sender gave.
   using OnMessage = std::function<void(const std::string& from, const mesh::Message& message)>;
 
+  // A link of the controller `label` to `siblings`; connects when there is something to send.
   MeshLink(struct ev_loop* loop, std::string label, const std::vector<Sibling>& siblings,
            OnMessage on_message);
   ~MeshLink();
   MeshLink(const MeshLink&) = delete;
   MeshLink& operator=(const MeshLink&) = delete;
 
+  // Starts to accept connections; false, with errno set, when it cannot listen.
   bool Open(const Endpoint& at);
-  // Dropped when the sibling cannot be reached; the core repeats what matters.
+  // Sends `message` to the sibling `to`; drops it when the sibling cannot be reached.
   void Send(const std::string& to, const mesh::Message& message);
+  // Closes connections that do not progress; to be called a few times a second.
   void Tick(Micros now);
 
  private:
@@ -52,14 +59,14 @@
     ev_io io{};
   };
 
-  static void OnAccept(struct ev_loop* loop, ev_io* w, int events);
-  static void OnOut(struct ev_loop* loop, ev_io* w, int events);
-  static void OnIn(struct ev_loop* loop, ev_io* w, int events);
-  void Connect(Outgoing* o);
-  void Write(Outgoing* o);
-  void Close(Outgoing* o);
-  void Read(Incoming* c);
-  void Drop(Incoming* c);
+  static void OnAccept(struct ev_loop* loop, ev_io* watcher, int events);
+  static void OnOut(struct ev_loop* loop, ev_io* watcher, int events);
+  static void OnIn(struct ev_loop* loop, ev_io* watcher, int events);
+  void Connect(Outgoing* outgoing);
+  void Write(Outgoing* outgoing);
+  void Close(Outgoing* outgoing);
+  void Read(Incoming* connection);
+  void Drop(Incoming* connection);
 
   struct ev_loop* loop_;
   std::string label_;
--- a/src/runtime/net.cc
+++ b/src/runtime/net.cc
@@ -14,17 +14,17 @@
 namespace {
 
 Micros Read(clockid_t clock) {
-  timespec ts;
-  clock_gettime(clock, &ts);
-  return static_cast<Micros>(ts.tv_sec) * kSecond + ts.tv_nsec / 1000;
+  timespec time;
+  clock_gettime(clock, &time);
+  return static_cast<Micros>(time.tv_sec) * kSecond + time.tv_nsec / 1000;
 }
 
-sockaddr_in Address(const Endpoint& e) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(static_cast<uint16_t>(e.port));
-  inet_pton(AF_INET, e.host.c_str(), &a.sin_addr);
-  return a;
+sockaddr_in Address(const Endpoint& endpoint) {
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(static_cast<uint16_t>(endpoint.port));
+  inet_pton(AF_INET, endpoint.host.c_str(), &address.sin_addr);
+  return address;
 }
 
 void SetUp(int fd) {
@@ -45,8 +45,9 @@
   SetUp(fd);
   int on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  sockaddr_in a = Address(at);
-  if (bind(fd, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0 || listen(fd, 256) != 0) {
+  sockaddr_in address = Address(at);
+  if (bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 ||
+      listen(fd, 256) != 0) {
     int error = errno;
     close(fd);
     errno = error;
@@ -59,8 +60,9 @@
   int fd = socket(AF_INET, SOCK_STREAM, 0);
   if (fd < 0) return -1;
   SetUp(fd);
-  sockaddr_in a = Address(to);
-  if (connect(fd, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0 && errno != EINPROGRESS) {
+  sockaddr_in address = Address(to);
+  if (connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 &&
+      errno != EINPROGRESS) {
     close(fd);
     return -1;
   }
@@ -75,8 +77,8 @@
 
 int ConnectError(int fd) {
   int error = 0;
-  socklen_t n = sizeof error;
-  if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &n) != 0) return errno;
+  socklen_t size = sizeof error;
+  if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0) return errno;
   return error;
 }
 
--- a/src/runtime/node.cc
+++ b/src/runtime/node.cc
@@ -34,14 +34,15 @@
       : settings_(settings),
         loop_(ev_default_loop(EVFLAG_AUTO)),
         core_(settings, DrawBoot(), SteadyNow(), WallNow()),
-        server_(loop_, ServerSockets(settings), [this](const Request& r) { OnRequest(r); }),
+        server_(loop_, ServerSockets(settings),
+                [this](const Request& request) { OnRequest(request); }),
         client_(loop_, WorkerSockets(settings),
                 [this](uint64_t call, int status, std::string body) {
                   inbox_.push_back({call, status, std::move(body)});
                 }),
         mesh_(loop_, settings.label, settings.siblings,
-              [this](const std::string& from, const mesh::Message& m) {
-                Dispatch(core_.HandlePeer(SteadyNow(), from, m));
+              [this](const std::string& from, const mesh::Message& message) {
+                Dispatch(core_.HandlePeer(SteadyNow(), from, message));
               }) {}
 
   int Run() {
@@ -76,16 +77,16 @@
   // short and share few sockets. Some are kept for the state service, the cloud, the
   // siblings and the loop itself, whatever comes in.
   static constexpr int kKeptSockets = 64;
-  static size_t WorkerSockets(const Settings& s) {
-    return static_cast<size_t>(std::max(4, s.fd_limit / 6));
+  static size_t WorkerSockets(const Settings& settings) {
+    return static_cast<size_t>(std::max(4, settings.fd_limit / 6));
   }
-  static size_t ServerSockets(const Settings& s) {
-    const int left = s.fd_limit - static_cast<int>(WorkerSockets(s)) - kKeptSockets;
+  static size_t ServerSockets(const Settings& settings) {
+    const int left = settings.fd_limit - static_cast<int>(WorkerSockets(settings)) - kKeptSockets;
     return static_cast<size_t>(std::max(16, left));
   }
 
-  static void OnTimer(struct ev_loop*, ev_timer* w, int) {
-    auto* self = static_cast<Node*>(w->data);
+  static void OnTimer(struct ev_loop*, ev_timer* watcher, int) {
+    auto* self = static_cast<Node*>(watcher->data);
     Micros now = SteadyNow();
     self->client_.Tick(now);
     self->server_.Tick(now);
@@ -94,12 +95,13 @@
   }
 
   // Answers are handed to the core here, never from within a call of its own.
-  static void OnPrepare(struct ev_loop*, ev_prepare* w, int) {
-    auto* self = static_cast<Node*>(w->data);
+  static void OnPrepare(struct ev_loop*, ev_prepare* watcher, int) {
+    auto* self = static_cast<Node*>(watcher->data);
     while (!self->inbox_.empty()) {
-      Arrived a = std::move(self->inbox_.front());
+      Arrived arrived = std::move(self->inbox_.front());
       self->inbox_.pop_front();
-      self->Dispatch(self->core_.HandleAnswer(SteadyNow(), a.call, a.status, a.body));
+      self->Dispatch(
+          self->core_.HandleAnswer(SteadyNow(), arrived.call, arrived.status, arrived.body));
     }
   }
 
@@ -127,7 +129,7 @@
           break;
       }
     }
-    for (const PeerMessage& m : out.peers) mesh_.Send(m.to, m.message);
+    for (const PeerMessage& message : out.peers) mesh_.Send(message.to, message.message);
     for (const Reply& reply : out.replies) server_.Send(reply);
   }
 
--- a/src/runtime/node.h
+++ b/src/runtime/node.h
@@ -1,4 +1,5 @@
-// One controller process: the core, its sockets and its timers.
+// One controller process: connects the core to sockets, clocks and the log. The core
+// decides and returns what to send; the node sends it and passes on what arrives.
 #ifndef TROUTLINK_RUNTIME_NODE_H_
 #define TROUTLINK_RUNTIME_NODE_H_
 
@@ -6,7 +7,7 @@
 
 namespace troutlink::runtime {
 
-// Runs until the process is killed. Returns an exit code if it cannot start.
+// Runs a controller until the process is killed; returns an exit code if it cannot start.
 int RunNode(const Settings& settings);
 
 }  // namespace troutlink::runtime
--- a/src/runtime/server.cc
+++ b/src/runtime/server.cc
@@ -18,9 +18,9 @@
 }  // namespace
 
 Server::~Server() {
-  for (auto& [raw, c] : connections_) {
-    ev_io_stop(loop_, &c->io);
-    close(c->fd);
+  for (auto& [raw, connection] : connections_) {
+    ev_io_stop(loop_, &connection->io);
+    close(connection->fd);
   }
   if (listener_ >= 0) {
     ev_io_stop(loop_, &accept_);
@@ -38,9 +38,9 @@
   return true;
 }
 
-void Server::OnAccept(struct ev_loop*, ev_io* w, int) {
-  auto* self = static_cast<Server*>(w->data);
-  for (int i = 0; i < kAcceptsAtOnce; ++i) {
+void Server::OnAccept(struct ev_loop*, ev_io* watcher, int) {
+  auto* self = static_cast<Server*>(watcher->data);
+  for (int index = 0; index < kAcceptsAtOnce; ++index) {
     int fd = Accept(self->listener_);
     if (fd < 0) return;
     if (self->connections_.size() >= self->most_ && !self->DropIdle()) {
@@ -51,28 +51,28 @@
       continue;
     }
     auto owned = std::make_unique<Connection>();
-    Connection* c = owned.get();
-    c->owner = self;
-    c->fd = fd;
-    c->last = SteadyNow();
-    c->io.data = c;
-    ev_init(&c->io, &Server::OnIo);
-    self->connections_[c] = std::move(owned);
-    self->Rest(c);
-    self->Watch(c);
+    Connection* connection = owned.get();
+    connection->owner = self;
+    connection->fd = fd;
+    connection->last = SteadyNow();
+    connection->io.data = connection;
+    ev_init(&connection->io, &Server::OnIo);
+    self->connections_[connection] = std::move(owned);
+    self->Rest(connection);
+    self->Watch(connection);
   }
 }
 
-void Server::Rest(Connection* c) {
-  if (c->resting) return;
-  c->resting = true;
-  c->place = resting_.insert(resting_.end(), c);
+void Server::Rest(Connection* connection) {
+  if (connection->resting) return;
+  connection->resting = true;
+  connection->place = resting_.insert(resting_.end(), connection);
 }
 
-void Server::Wake(Connection* c) {
-  if (!c->resting) return;
-  c->resting = false;
-  resting_.erase(c->place);
+void Server::Wake(Connection* connection) {
+  if (!connection->resting) return;
+  connection->resting = false;
+  resting_.erase(connection->place);
 }
 
 bool Server::DropIdle() {
@@ -81,63 +81,63 @@
   return true;
 }
 
-void Server::Watch(Connection* c) {
+void Server::Watch(Connection* connection) {
   int events = 0;
-  if (c->request == 0 && !c->close_after) events |= EV_READ;
-  if (!c->out.empty()) events |= EV_WRITE;
+  if (connection->request == 0 && !connection->close_after) events |= EV_READ;
+  if (!connection->out.empty()) events |= EV_WRITE;
   // While a request is being answered, a hang-up still has to be seen.
   if (events == 0) events = EV_READ;
-  ev_io_stop(loop_, &c->io);
-  ev_io_set(&c->io, c->fd, events);
-  ev_io_start(loop_, &c->io);
+  ev_io_stop(loop_, &connection->io);
+  ev_io_set(&connection->io, connection->fd, events);
+  ev_io_start(loop_, &connection->io);
 }
 
-void Server::OnIo(struct ev_loop*, ev_io* w, int events) {
-  auto* c = static_cast<Connection*>(w->data);
-  c->owner->Handle(c, events);
+void Server::OnIo(struct ev_loop*, ev_io* watcher, int events) {
+  auto* connection = static_cast<Connection*>(watcher->data);
+  connection->owner->Handle(connection, events);
 }
 
-void Server::Handle(Connection* c, int events) {
-  if ((events & EV_WRITE) != 0 && !c->out.empty()) {
-    if (!Write(c)) return;
-    if (c->out.empty()) {
-      Watch(c);
-      if (c->request == 0) Parse(c);
+void Server::Handle(Connection* connection, int events) {
+  if ((events & EV_WRITE) != 0 && !connection->out.empty()) {
+    if (!Write(connection)) return;
+    if (connection->out.empty()) {
+      Watch(connection);
+      if (connection->request == 0) Parse(connection);
       return;
     }
   }
   if ((events & EV_READ) == 0) return;
   char buffer[16384];
-  ssize_t n = recv(c->fd, buffer, sizeof buffer, 0);
-  if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
+  ssize_t count = recv(connection->fd, buffer, sizeof buffer, 0);
+  if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
   // Nobody pipelines: bytes that come while a request is being answered are
   // either a hang-up or a client of no good.
-  if (n <= 0 || c->request != 0) {
-    Drop(c);
+  if (count <= 0 || connection->request != 0) {
+    Drop(connection);
     return;
   }
-  c->last = SteadyNow();
-  Wake(c);
-  c->parser.Feed({buffer, static_cast<size_t>(n)});
-  Parse(c);
+  connection->last = SteadyNow();
+  Wake(connection);
+  connection->parser.Feed({buffer, static_cast<size_t>(count)});
+  Parse(connection);
 }
 
-void Server::Parse(Connection* c) {
+void Server::Parse(Connection* connection) {
   http::Message message;
-  switch (c->parser.Next(&message)) {
+  switch (connection->parser.Next(&message)) {
     case http::Parser::State::kMore: return;
     case http::Parser::State::kError:
-      c->close_after = true;
-      c->out = http::WriteResponse(c->parser.error_status(), "", true, 0);
-      c->sent = 0;
-      if (Write(c)) Watch(c);
+      connection->close_after = true;
+      connection->out = http::WriteResponse(connection->parser.error_status(), "", true, 0);
+      connection->sent = 0;
+      if (Write(connection)) Watch(connection);
       return;
     case http::Parser::State::kMessage: break;
   }
-  c->request = next_request_++;
-  c->close_after = message.close;
-  requests_[c->request] = c;
-  Request request{c->request, std::move(message.method), std::move(message.target),
+  connection->request = next_request_++;
+  connection->close_after = message.close;
+  requests_[connection->request] = connection;
+  Request request{connection->request, std::move(message.method), std::move(message.target),
                   std::move(message.body)};
   on_request_(std::move(request));
 }
@@ -145,54 +145,58 @@
 void Server::Send(const Reply& reply) {
   auto it = requests_.find(reply.id);
   if (it == requests_.end()) return;
-  Connection* c = it->second;
+  Connection* connection = it->second;
   requests_.erase(it);
-  c->request = 0;
+  connection->request = 0;
   // With nearly all sockets taken each answer ends its connection, so that every
   // client gets its turn: one node may be left with all workers there are.
-  c->close_after = c->close_after || Crowded();
-  c->out = http::WriteResponse(reply.status, reply.body, c->close_after, reply.retry_after_s);
-  c->sent = 0;
-  if (Write(c)) Watch(c);
+  connection->close_after = connection->close_after || Crowded();
+  connection->out =
+      http::WriteResponse(reply.status, reply.body, connection->close_after, reply.retry_after_s);
+  connection->sent = 0;
+  if (Write(connection)) Watch(connection);
 }
 
 // False when the connection is gone.
-bool Server::Write(Connection* c) {
-  while (c->sent < c->out.size()) {
-    ssize_t n = send(c->fd, c->out.data() + c->sent, c->out.size() - c->sent, MSG_NOSIGNAL);
-    if (n <= 0) {
-      if (n < 0 && (errno == EAGAIN || errno == EINTR)) return true;
-      Drop(c);
+bool Server::Write(Connection* connection) {
+  while (connection->sent < connection->out.size()) {
+    ssize_t count = send(connection->fd, connection->out.data() + connection->sent,
+                         connection->out.size() - connection->sent, MSG_NOSIGNAL);
+    if (count <= 0) {
+      if (count < 0 && (errno == EAGAIN || errno == EINTR)) return true;
+      Drop(connection);
       return false;
     }
-    c->sent += static_cast<size_t>(n);
-    c->last = SteadyNow();
+    connection->sent += static_cast<size_t>(count);
+    connection->last = SteadyNow();
   }
-  c->out.clear();
-  c->sent = 0;
-  if (c->close_after) {
-    Drop(c);
+  connection->out.clear();
+  connection->sent = 0;
+  if (connection->close_after) {
+    Drop(connection);
     return false;
   }
-  if (c->request == 0 && c->parser.idle()) Rest(c);
+  if (connection->request == 0 && connection->parser.idle()) Rest(connection);
   return true;
 }
 
-void Server::Drop(Connection* c) {
-  Wake(c);
-  ev_io_stop(loop_, &c->io);
-  close(c->fd);
-  if (c->request != 0) requests_.erase(c->request);
-  connections_.erase(c);
+void Server::Drop(Connection* connection) {
+  Wake(connection);
+  ev_io_stop(loop_, &connection->io);
+  close(connection->fd);
+  if (connection->request != 0) requests_.erase(connection->request);
+  connections_.erase(connection);
 }
 
 void Server::Tick(Micros now) {
   std::vector<Connection*> late;
-  for (auto& [c, owned] : connections_) {
-    bool middle = !c->parser.idle() || !c->out.empty();
-    if (now - c->last > (middle ? kStalled : kIdle) && c->request == 0) late.push_back(c);
+  for (auto& [connection, owned] : connections_) {
+    bool middle = !connection->parser.idle() || !connection->out.empty();
+    if (now - connection->last > (middle ? kStalled : kIdle) && connection->request == 0) {
+      late.push_back(connection);
+    }
   }
-  for (Connection* c : late) Drop(c);
+  for (Connection* connection : late) Drop(connection);
 }
 
 }  // namespace troutlink::runtime
--- a/src/runtime/server.h
+++ b/src/runtime/server.h
@@ -1,4 +1,5 @@
-// HTTP server: bounded connections, one request at a time on each.
+// HTTP server with a bounded number of connections and one request at a time on each.
+// All calls come from the event loop's thread.
 #ifndef TROUTLINK_RUNTIME_SERVER_H_
 #define TROUTLINK_RUNTIME_SERVER_H_
 
@@ -16,21 +17,26 @@
 
 namespace troutlink::runtime {
 
+// Accepts requests, gives each an id and sends the reply with that id.
 class Server {
  public:
+  // Receives each request; the reply may be sent at once or later.
   using OnRequest = std::function<void(Request request)>;
 
+  // Keeps at most `most` connections; the longest idle one is closed for a new one.
   Server(struct ev_loop* loop, size_t most, OnRequest on_request)
       : loop_(loop), most_(most), on_request_(std::move(on_request)) {}
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
+  // Starts to accept connections; false, with errno set, when it cannot listen.
   bool Open(const Endpoint& at);
-  // Replies to requests whose connection is gone are dropped.
+  // Sends the reply to the request with its id; drops it when the connection is gone.
   void Send(const Reply& reply);
-  // Closes connections that stalled or idled too long.
+  // Closes connections that stalled or idled too long; to be called a few times a second.
   void Tick(Micros now);
+  // Open connections.
   size_t connections() const { return connections_.size(); }
 
  private:
@@ -48,16 +54,16 @@
     ev_io io{};
   };
 
-  static void OnAccept(struct ev_loop* loop, ev_io* w, int events);
-  static void OnIo(struct ev_loop* loop, ev_io* w, int events);
-  void Handle(Connection* c, int events);
-  void Parse(Connection* c);
-  bool Write(Connection* c);
-  void Drop(Connection* c);
-  void Watch(Connection* c);
+  static void OnAccept(struct ev_loop* loop, ev_io* watcher, int events);
+  static void OnIo(struct ev_loop* loop, ev_io* watcher, int events);
+  void Handle(Connection* connection, int events);
+  void Parse(Connection* connection);
+  bool Write(Connection* connection);
+  void Drop(Connection* connection);
+  void Watch(Connection* connection);
   // Between two requests, or no longer so.
-  void Rest(Connection* c);
-  void Wake(Connection* c);
+  void Rest(Connection* connection);
+  void Wake(Connection* connection);
   // Makes room for one more by dropping the one that has been idle for longest.
   bool DropIdle();
   bool Crowded() const { return connections_.size() * 10 > most_ * 9; }
--- a/src/wire/pack.cc
+++ b/src/wire/pack.cc
@@ -23,7 +23,7 @@
     keys_.emplace_back();
     return keys_.size() <= kMaxDepth;
   }
-  bool key(string_t& k) override { return keys_.back().insert(k).second; }
+  bool key(string_t& name) override { return keys_.back().insert(name).second; }
   bool end_object() override {
     keys_.pop_back();
     return true;
@@ -53,9 +53,9 @@
 }
 
 std::optional<Json> Unpack(std::string_view body) {
-  Json v = Json::from_msgpack(body.begin(), body.end(), true, false);
-  if (v.is_discarded()) return std::nullopt;
-  return v;
+  Json value = Json::from_msgpack(body.begin(), body.end(), true, false);
+  if (value.is_discarded()) return std::nullopt;
+  return value;
 }
 
 std::optional<Json> UnpackStrict(std::string_view body) {
@@ -73,31 +73,31 @@
 }
 
 std::optional<std::string> Text(const Json& map, const char* key) {
-  const Json* v = Find(map, key);
-  if (v == nullptr || !v->is_string()) return std::nullopt;
-  return v->get<std::string>();
+  const Json* value = Find(map, key);
+  if (value == nullptr || !value->is_string()) return std::nullopt;
+  return value->get<std::string>();
 }
 
 std::optional<uint64_t> Count(const Json& map, const char* key) {
-  const Json* v = Find(map, key);
-  if (v == nullptr) return std::nullopt;
-  if (v->is_number_unsigned()) return v->get<uint64_t>();
-  if (v->is_number_integer() && v->get<int64_t>() >= 0) return v->get<uint64_t>();
+  const Json* value = Find(map, key);
+  if (value == nullptr) return std::nullopt;
+  if (value->is_number_unsigned()) return value->get<uint64_t>();
+  if (value->is_number_integer() && value->get<int64_t>() >= 0) return value->get<uint64_t>();
   return std::nullopt;
 }
 
 std::optional<double> Number(const Json& map, const char* key) {
-  const Json* v = Find(map, key);
-  if (v == nullptr || !v->is_number()) return std::nullopt;
-  double d = v->get<double>();
-  if (!std::isfinite(d)) return std::nullopt;
-  return d;
+  const Json* value = Find(map, key);
+  if (value == nullptr || !value->is_number()) return std::nullopt;
+  double number = value->get<double>();
+  if (!std::isfinite(number)) return std::nullopt;
+  return number;
 }
 
 std::optional<bool> Flag(const Json& map, const char* key) {
-  const Json* v = Find(map, key);
-  if (v == nullptr || !v->is_boolean()) return std::nullopt;
-  return v->get<bool>();
+  const Json* value = Find(map, key);
+  if (value == nullptr || !value->is_boolean()) return std::nullopt;
+  return value->get<bool>();
 }
 
 }  // namespace troutlink::wire
--- a/src/wire/state.cc
+++ b/src/wire/state.cc
@@ -5,9 +5,9 @@
 namespace troutlink::wire {
 
 std::string ListTarget(std::string_view prefix, std::string_view after, int limit) {
-  std::string t = "/store?under=" + std::string(prefix) + "&limit=" + std::to_string(limit);
-  if (!after.empty()) t.append("&from=").append(after);
-  return t;
+  std::string target = "/store?under=" + std::string(prefix) + "&limit=" + std::to_string(limit);
+  if (!after.empty()) target.append("&from=").append(after);
+  return target;
 }
 std::string WatchTarget(std::string_view prefix, uint64_t after, Micros wait) {
   return "/follow?under=" + std::string(prefix) + "&from=" + std::to_string(after) +
@@ -25,11 +25,11 @@
   StatePage page;
   page.revision = *revision;
   page.more = Flag(*doc, "truncated").value_or(false);
-  for (const Json& i : *items) {
-    std::optional<std::string> key = Text(i, "key");
-    std::optional<uint64_t> version = Count(i, "stamp");
-    auto value = i.find("v");
-    if (!key || !version || value == i.end()) return std::nullopt;
+  for (const Json& item : *items) {
+    std::optional<std::string> key = Text(item, "key");
+    std::optional<uint64_t> version = Count(item, "stamp");
+    auto value = item.find("v");
+    if (!key || !version || value == item.end()) return std::nullopt;
     page.items.push_back({*key, Pack(*value), *version});
   }
   return page;
@@ -40,13 +40,13 @@
   for (const auto& [key, version] : txn.conditions) {
     conditions.push_back({{"key", key}, {"stamp", version}});
   }
-  for (const StateWrite& w : txn.writes) {
-    if (w.erase) {
-      writes.push_back({{"delete", w.key}});
+  for (const StateWrite& write : txn.writes) {
+    if (write.erase) {
+      writes.push_back({{"delete", write.key}});
       continue;
     }
-    Json put = {{"put", w.key}, {"v", Unpack(w.value).value_or(Json())}};
-    if (w.lease != 0) put["permit"] = w.lease;
+    Json put = {{"put", write.key}, {"v", Unpack(write.value).value_or(Json())}};
+    if (write.lease != 0) put["permit"] = write.lease;
     writes.push_back(std::move(put));
   }
   return Pack(Json{{"if", std::move(conditions)}, {"writes", std::move(writes)}});
@@ -59,8 +59,8 @@
   TxnReply reply;
   reply.revision = *revision;
   if (const Json* failed = Find(*doc, "failed"); failed != nullptr && failed->is_array()) {
-    for (const Json& k : *failed) {
-      if (k.is_string()) reply.failed.push_back(k.get<std::string>());
+    for (const Json& key : *failed) {
+      if (key.is_string()) reply.failed.push_back(key.get<std::string>());
     }
   }
   return reply;
@@ -73,17 +73,17 @@
   if (!revision || events == nullptr || !events->is_array()) return std::nullopt;
   WatchReply reply;
   reply.revision = *revision;
-  for (const Json& e : *events) {
+  for (const Json& map : *events) {
     StateEvent event;
-    std::optional<uint64_t> version = Count(e, "stamp");
+    std::optional<uint64_t> version = Count(map, "stamp");
     if (!version) return std::nullopt;
     event.version = *version;
-    if (std::optional<std::string> key = Text(e, "put")) {
-      auto value = e.find("v");
-      if (value == e.end()) return std::nullopt;
+    if (std::optional<std::string> key = Text(map, "put")) {
+      auto value = map.find("v");
+      if (value == map.end()) return std::nullopt;
       event.key = *key;
       event.value = Pack(*value);
-    } else if (std::optional<std::string> gone = Text(e, "delete")) {
+    } else if (std::optional<std::string> gone = Text(map, "delete")) {
       event.key = *gone;
       event.erase = true;
     } else {
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -1,5 +1,6 @@
-// Plain structs for everything that crosses the service's published
-// interfaces. The words of the wire itself stay in this package's .cc files.
+// Plain structs for everything that users, workers, the cloud and the state service send
+// or receive. The field names and words on the wire appear only in this package's .cc
+// files.
 #ifndef TROUTLINK_WIRE_TYPES_H_
 #define TROUTLINK_WIRE_TYPES_H_
 
@@ -13,34 +14,39 @@
 
 namespace troutlink {
 
-// Amounts of resources in thousandths, so that sums are exact.
+// Amounts of resources: cpus, gpus and gigabytes of memory, in thousandths so that sums
+// are exact.
 struct Amount {
   int64_t cpus = 0;
   int64_t gpus = 0;
   int64_t memory = 0;
 
-  Amount& operator+=(const Amount& o) {
-    cpus += o.cpus, gpus += o.gpus, memory += o.memory;
+  Amount& operator+=(const Amount& other) {
+    cpus += other.cpus, gpus += other.gpus, memory += other.memory;
     return *this;
   }
-  Amount& operator-=(const Amount& o) {
-    cpus -= o.cpus, gpus -= o.gpus, memory -= o.memory;
+  Amount& operator-=(const Amount& other) {
+    cpus -= other.cpus, gpus -= other.gpus, memory -= other.memory;
     return *this;
   }
-  bool Fits(const Amount& in) const {
-    return cpus <= in.cpus && gpus <= in.gpus && memory <= in.memory;
+  // Whether no resource exceeds that of `room`.
+  bool Fits(const Amount& room) const {
+    return cpus <= room.cpus && gpus <= room.gpus && memory <= room.memory;
   }
   bool operator==(const Amount&) const = default;
 };
-inline Amount operator+(Amount a, const Amount& b) { return a += b; }
-inline Amount operator-(Amount a, const Amount& b) { return a -= b; }
+// Sum and difference of each resource.
+inline Amount operator+(Amount left, const Amount& right) { return left += right; }
+inline Amount operator-(Amount left, const Amount& right) { return left -= right; }
 
-// A gang's tasks only run all together; see docs/questions.md.
+// The tasks of an array run independently, those of a service until it is cancelled, and
+// those of a gang only all together (see docs/questions.md).
 enum class JobKind { kArray, kService, kGang };
 // Higher is more important.
 enum class Priority { kLow = 0, kNormal = 1, kHigh = 2, kProduction = 3 };
 inline constexpr size_t kPriorities = 4;
 
+// A job as its user submitted it.
 struct JobSpec {
   std::string id;
   std::string job_class;
@@ -48,7 +54,7 @@
   JobKind kind = JobKind::kArray;
   Priority priority = Priority::kNormal;
   int tasks = 0;
-  Amount each;
+  Amount each;  // of one task
   std::string image;
   double image_gb = 0;
   std::vector<std::string> types;  // empty: any
@@ -56,17 +62,19 @@
   bool one_zone = false;
   bool spread = false;
   bool spot = false;
-  Micros estimate = 0;
-  Micros checkpoint = 0;
-  Micros save = 0;
-  Micros deadline = 0;  // 0: none
+  Micros estimate = 0;    // expected time of one task
+  Micros checkpoint = 0;  // period of the checkpoints; 0: none
+  Micros save = 0;        // time that saving takes before a stop
+  Micros deadline = 0;    // from the submission; 0: none
 };
 
+// What is stored of a job; an open one is neither done nor cancelled.
 enum class JobState { kOpen, kDone, kCancelled };
 
 // What users are told of a job: an open one is queued until a task runs.
 enum class JobPhase { kQueued, kRunning, kDone, kCancelled };
 
+// What a poll tells of a job: its state and the numbers of its tasks.
 struct JobStatus {
   std::string id;
   JobPhase state = JobPhase::kQueued;
@@ -76,9 +84,12 @@
 
 // --- workers ---------------------------------------------------------------
 
+// What a worker does with a task: fetches its image, runs it, saves it, or has ended it.
 enum class TaskState { kFetching, kRunning, kSaving, kExited };
+// Why a task ended; kNone for one that has not.
 enum class ExitReason { kNone, kDone, kStopped, kError, kNoRoom, kBusy, kUnknown, kPeers };
 
+// One attempt of a task on the reporting worker.
 struct TaskReport {
   std::string job;
   int task = 0;
@@ -88,6 +99,8 @@
   bool saved = false;
 };
 
+// A worker's report: its `session`, the number `seq` of the report in it, its fencing
+// token, and the state of its tasks; `notice` when the machine is about to be taken away.
 struct Report {
   std::string machine;
   std::string addr;
@@ -101,6 +114,7 @@
   std::vector<TaskReport> tasks;
 };
 
+// An order to a worker about one attempt; `grace` only for kStop.
 struct Command {
   enum class Op { kStart, kStop, kForget };
   Op op = Op::kStart;
@@ -112,6 +126,7 @@
 
 // --- cloud -----------------------------------------------------------------
 
+// A type of machine that the cloud rents out.
 struct MachineType {
   std::string name;
   Amount size;
@@ -123,6 +138,7 @@
   std::vector<std::string> zones;
 };
 
+// A rented machine as the cloud lists it.
 struct ListedMachine {
   std::string name;
   std::string addr;
@@ -133,6 +149,7 @@
   Micros age = 0;
 };
 
+// A request for `count` machines; `request` is its id.
 struct RentRequest {
   std::string request;
   std::string type;
@@ -143,12 +160,14 @@
 
 // --- state service ---------------------------------------------------------
 
+// A key of the state service with its value.
 struct StateItem {
   std::string key;
   std::string value;  // MessagePack, as stored
   uint64_t version = 0;
 };
 
+// A key to put, under a lease if there is one, or, with `erase`, to delete.
 struct StateWrite {
   std::string key;
   std::string value;   // MessagePack; ignored for deletes
@@ -162,11 +181,13 @@
   uint64_t version = 0;
 };
 
+// Writes that happen together, if all conditions hold, or not at all.
 struct StateTxn {
   std::vector<StateCondition> conditions;
   std::vector<StateWrite> writes;
 };
 
+// A change of a key: put or, with `erase`, deleted.
 struct StateEvent {
   std::string key;
   std::string value;
--- a/src/wire/user.cc
+++ b/src/wire/user.cc
@@ -15,126 +15,126 @@
 
 // Required: present, a number, finite, within [0, most].
 bool ReadAmount(const Json& map, const char* key, double most, double* out, std::string* why) {
-  std::optional<double> v = Number(map, key);
-  if (!v || *v < 0 || *v > most) {
+  std::optional<double> value = Number(map, key);
+  if (!value || *value < 0 || *value > most) {
     *why = std::string(key) + " must be a number from 0 to " + std::to_string(most);
     return false;
   }
-  *out = *v;
+  *out = *value;
   return true;
 }
 
 bool ReadText(const Json& map, const char* key, std::string* out, std::string* why) {
-  std::optional<std::string> v = Text(map, key);
-  if (!v || v->empty() || v->size() > kMaxText) {
+  std::optional<std::string> value = Text(map, key);
+  if (!value || value->empty() || value->size() > kMaxText) {
     *why = std::string(key) + " must be a text of 1 to 200 bytes";
     return false;
   }
-  *out = *v;
+  *out = *value;
   return true;
 }
 
 bool ReadFlag(const Json& map, const char* key, bool* out, std::string* why) {
-  const Json* v = Find(map, key);
-  if (v == nullptr || !v->is_boolean()) {
+  const Json* value = Find(map, key);
+  if (value == nullptr || !value->is_boolean()) {
     *why = std::string(key) + " must be a boolean";
     return false;
   }
-  *out = v->get<bool>();
+  *out = value->get<bool>();
   return true;
 }
 
-int64_t Milli(double v) { return std::llround(std::ceil(v * 1000.0 - 1e-6)); }
+int64_t Milli(double value) { return std::llround(std::ceil(value * 1000.0 - 1e-6)); }
 
 constexpr std::string_view kPhases[] = {"queued", "running", "done", "cancelled"};
 
 std::string_view PhaseWord(JobPhase phase) { return kPhases[static_cast<size_t>(phase)]; }
 
 std::optional<JobPhase> ParsePhase(std::string_view word) {
-  for (size_t i = 0; i < std::size(kPhases); ++i) {
-    if (kPhases[i] == word) return static_cast<JobPhase>(i);
+  for (size_t index = 0; index < std::size(kPhases); ++index) {
+    if (kPhases[index] == word) return static_cast<JobPhase>(index);
   }
   return std::nullopt;
 }
 
 // Nothing, and why, when a field is missing or out of its range.
-std::optional<JobSpec> ReadSpec(const Json& m, std::string* why) {
-  JobSpec s;
+std::optional<JobSpec> ReadSpec(const Json& map, std::string* why) {
+  JobSpec spec;
   std::string kind, priority;
   double cpus = 0, gpus = 0, memory = 0, gb = 0, estimate = 0, checkpoint = 0, save = 0;
-  if (!ReadText(m, "name_id", &s.id, why) || !ReadText(m, "docket", &s.job_class, why) ||
-      !ReadText(m, "owner", &s.team, why) || !ReadText(m, "form", &kind, why) ||
-      !ReadText(m, "rank", &priority, why) || !ReadText(m, "bundle", &s.image, why) ||
-      !ReadAmount(m, "cpus", kMaxAmount, &cpus, why) ||
-      !ReadAmount(m, "cards", kMaxAmount, &gpus, why) ||
-      !ReadAmount(m, "memory_gb", kMaxAmount, &memory, why) ||
-      !ReadAmount(m, "size_gb", kMaxAmount, &gb, why) ||
-      !ReadAmount(m, "expect_s", kMaxSeconds, &estimate, why) ||
-      !ReadAmount(m, "bookmark_s", kMaxSeconds, &checkpoint, why) ||
-      !ReadAmount(m, "stash_s", kMaxSeconds, &save, why) ||
-      !ReadFlag(m, "together", &s.one_zone, why) || !ReadFlag(m, "spread", &s.spread, why) ||
-      !ReadFlag(m, "loaners", &s.spot, why)) {
+  if (!ReadText(map, "name_id", &spec.id, why) || !ReadText(map, "docket", &spec.job_class, why) ||
+      !ReadText(map, "owner", &spec.team, why) || !ReadText(map, "form", &kind, why) ||
+      !ReadText(map, "rank", &priority, why) || !ReadText(map, "bundle", &spec.image, why) ||
+      !ReadAmount(map, "cpus", kMaxAmount, &cpus, why) ||
+      !ReadAmount(map, "cards", kMaxAmount, &gpus, why) ||
+      !ReadAmount(map, "memory_gb", kMaxAmount, &memory, why) ||
+      !ReadAmount(map, "size_gb", kMaxAmount, &gb, why) ||
+      !ReadAmount(map, "expect_s", kMaxSeconds, &estimate, why) ||
+      !ReadAmount(map, "bookmark_s", kMaxSeconds, &checkpoint, why) ||
+      !ReadAmount(map, "stash_s", kMaxSeconds, &save, why) ||
+      !ReadFlag(map, "together", &spec.one_zone, why) ||
+      !ReadFlag(map, "spread", &spec.spread, why) || !ReadFlag(map, "loaners", &spec.spot, why)) {
     return std::nullopt;
   }
-  if (!IsJobId(s.id)) {
+  if (!IsJobId(spec.id)) {
     *why = "name_id must be job- and up to 32 digits";
     return std::nullopt;
   }
   if (kind == "array") {
-    s.kind = JobKind::kArray;
+    spec.kind = JobKind::kArray;
   } else if (kind == "service") {
-    s.kind = JobKind::kService;
+    spec.kind = JobKind::kService;
   } else if (kind == "gang") {
-    s.kind = JobKind::kGang;
+    spec.kind = JobKind::kGang;
   } else {
     *why = "form must be array, gang or service";
     return std::nullopt;
   }
   if (priority == "critical") {
-    s.priority = Priority::kProduction;
+    spec.priority = Priority::kProduction;
   } else if (priority == "urgent") {
-    s.priority = Priority::kHigh;
+    spec.priority = Priority::kHigh;
   } else if (priority == "standard") {
-    s.priority = Priority::kNormal;
+    spec.priority = Priority::kNormal;
   } else if (priority == "low") {
-    s.priority = Priority::kLow;
+    spec.priority = Priority::kLow;
   } else {
     *why = "rank must be critical, urgent, standard or low";
     return std::nullopt;
   }
-  std::optional<uint64_t> tasks = Count(m, "pieces");
+  std::optional<uint64_t> tasks = Count(map, "pieces");
   if (!tasks || *tasks < 1 || *tasks > kMaxTasks) {
     *why = "pieces must be an integer from 1 to 100000";
     return std::nullopt;
   }
-  s.tasks = static_cast<int>(*tasks);
-  s.each = {Milli(cpus), Milli(gpus), Milli(memory)};
-  s.image_gb = gb;
-  s.estimate = FromSeconds(estimate);
-  s.checkpoint = FromSeconds(checkpoint);
-  s.save = FromSeconds(save);
-  if (const Json* types = Find(m, "builds")) {
+  spec.tasks = static_cast<int>(*tasks);
+  spec.each = {Milli(cpus), Milli(gpus), Milli(memory)};
+  spec.image_gb = gb;
+  spec.estimate = FromSeconds(estimate);
+  spec.checkpoint = FromSeconds(checkpoint);
+  spec.save = FromSeconds(save);
+  if (const Json* types = Find(map, "builds")) {
     if (!types->is_array() || types->size() > 64) {
       *why = "builds must be a list of texts or null";
       return std::nullopt;
     }
-    for (const Json& t : *types) {
-      if (!t.is_string() || t.get_ref<const std::string&>().size() > kMaxText) {
+    for (const Json& type : *types) {
+      if (!type.is_string() || type.get_ref<const std::string&>().size() > kMaxText) {
         *why = "builds must be a list of texts or null";
         return std::nullopt;
       }
-      s.types.push_back(t.get<std::string>());
+      spec.types.push_back(type.get<std::string>());
     }
     // A list that allows nothing is not the same as null.
-    if (s.types.empty()) s.types.push_back("");
+    if (spec.types.empty()) spec.types.push_back("");
   }
-  if (Find(m, "room") != nullptr && !ReadText(m, "room", &s.zone, why)) return std::nullopt;
-  if (Find(m, "due_s") != nullptr) {
+  if (Find(map, "room") != nullptr && !ReadText(map, "room", &spec.zone, why)) return std::nullopt;
+  if (Find(map, "due_s") != nullptr) {
     double due = 0;
-    if (!ReadAmount(m, "due_s", kMaxSeconds, &due, why)) return std::nullopt;
-    s.deadline = std::max<Micros>(1, FromSeconds(due));
+    if (!ReadAmount(map, "due_s", kMaxSeconds, &due, why)) return std::nullopt;
+    spec.deadline = std::max<Micros>(1, FromSeconds(due));
   }
-  return s;
+  return spec;
 }
 
 }  // namespace
@@ -155,42 +155,44 @@
   return std::move(*spec);
 }
 
-Json EncodeSpec(const JobSpec& s) {
+Json EncodeSpec(const JobSpec& spec) {
   static constexpr const char* kPriorities[] = {"low", "standard", "urgent", "critical"};
-  Json m = {{"name_id", s.id},
-            {"docket", s.job_class},
-            {"owner", s.team},
-            {"form", s.kind == JobKind::kArray     ? "array"
-                     : s.kind == JobKind::kService ? "service"
-                                                   : "gang"},
-            {"rank", kPriorities[static_cast<int>(s.priority)]},
-            {"pieces", s.tasks},
-            {"cpus", static_cast<double>(s.each.cpus) / 1000.0},
-            {"cards", static_cast<double>(s.each.gpus) / 1000.0},
-            {"memory_gb", static_cast<double>(s.each.memory) / 1000.0},
-            {"bundle", s.image},
-            {"size_gb", s.image_gb},
-            {"together", s.one_zone},
-            {"spread", s.spread},
-            {"loaners", s.spot},
-            {"expect_s", ToSeconds(s.estimate)},
-            {"bookmark_s", ToSeconds(s.checkpoint)},
-            {"stash_s", ToSeconds(s.save)}};
-  if (!s.types.empty()) m["builds"] = s.types;
-  if (!s.zone.empty()) m["room"] = s.zone;
-  if (s.deadline > 0) m["due_s"] = ToSeconds(s.deadline);
-  return m;
+  Json map = {{"name_id", spec.id},
+              {"docket", spec.job_class},
+              {"owner", spec.team},
+              {"form", spec.kind == JobKind::kArray     ? "array"
+                       : spec.kind == JobKind::kService ? "service"
+                                                        : "gang"},
+              {"rank", kPriorities[static_cast<int>(spec.priority)]},
+              {"pieces", spec.tasks},
+              {"cpus", static_cast<double>(spec.each.cpus) / 1000.0},
+              {"cards", static_cast<double>(spec.each.gpus) / 1000.0},
+              {"memory_gb", static_cast<double>(spec.each.memory) / 1000.0},
+              {"bundle", spec.image},
+              {"size_gb", spec.image_gb},
+              {"together", spec.one_zone},
+              {"spread", spec.spread},
+              {"loaners", spec.spot},
+              {"expect_s", ToSeconds(spec.estimate)},
+              {"bookmark_s", ToSeconds(spec.checkpoint)},
+              {"stash_s", ToSeconds(spec.save)}};
+  if (!spec.types.empty()) map["builds"] = spec.types;
+  if (!spec.zone.empty()) map["room"] = spec.zone;
+  if (spec.deadline > 0) map["due_s"] = ToSeconds(spec.deadline);
+  return map;
 }
 
-std::string EncodeSubmission(const JobSpec& s) { return Pack(EncodeSpec(s)); }
+std::string EncodeSubmission(const JobSpec& spec) { return Pack(EncodeSpec(spec)); }
 
 std::string EncodeJobState(std::string_view id, JobPhase state) {
   return Pack(Json{{"name_id", id}, {"status", PhaseWord(state)}});
 }
 
-std::string EncodeJobStatus(const JobStatus& s) {
-  return Pack(Json{
-      {"name_id", s.id}, {"status", PhaseWord(s.state)}, {"done", s.done}, {"running", s.running}});
+std::string EncodeJobStatus(const JobStatus& status) {
+  return Pack(Json{{"name_id", status.id},
+                   {"status", PhaseWord(status.state)},
+                   {"done", status.done},
+                   {"running", status.running}});
 }
 
 std::optional<JobStatus> DecodeJobStatus(std::string_view body) {
--- a/src/wire/worker.cc
+++ b/src/wire/worker.cc
@@ -12,39 +12,41 @@
   if (slash == std::string_view::npos) return false;
   *job = text.substr(0, slash);
   const char* end = text.data() + text.size();
-  auto r = std::from_chars(text.data() + slash + 1, end, *task);
-  return r.ec == std::errc() && r.ptr == end && *task >= 0;
+  auto result = std::from_chars(text.data() + slash + 1, end, *task);
+  return result.ec == std::errc() && result.ptr == end && *task >= 0;
 }
 
 Json OrderList(const std::vector<Command>& commands) {
   Json list = Json::array();
-  for (const Command& c : commands) {
-    const char* verb = c.op == Command::Op::kStart  ? "start"
-                       : c.op == Command::Op::kStop ? "stop"
-                                                    : "reap";
-    Json o = {{"verb", verb}, {"piece", c.job + "/" + std::to_string(c.task)}, {"try", c.attempt}};
-    if (c.op == Command::Op::kStop) o["wind_down_s"] = ToSeconds(c.grace);
-    list.push_back(std::move(o));
+  for (const Command& command : commands) {
+    const char* verb = command.op == Command::Op::kStart  ? "start"
+                       : command.op == Command::Op::kStop ? "stop"
+                                                          : "reap";
+    Json order = {{"verb", verb},
+                  {"piece", command.job + "/" + std::to_string(command.task)},
+                  {"try", command.attempt}};
+    if (command.op == Command::Op::kStop) order["wind_down_s"] = ToSeconds(command.grace);
+    list.push_back(std::move(order));
   }
   return list;
 }
 
-std::optional<TaskState> ParseTaskState(std::string_view s) {
-  if (s == "pulling" || s == "gathering") return TaskState::kFetching;
-  if (s == "running") return TaskState::kRunning;
-  if (s == "flushing") return TaskState::kSaving;
-  if (s == "ended") return TaskState::kExited;
+std::optional<TaskState> ParseTaskState(std::string_view word) {
+  if (word == "pulling" || word == "gathering") return TaskState::kFetching;
+  if (word == "running") return TaskState::kRunning;
+  if (word == "flushing") return TaskState::kSaving;
+  if (word == "ended") return TaskState::kExited;
   return std::nullopt;
 }
 
-ExitReason ParseExit(std::string_view s) {
-  if (s == "done") return ExitReason::kDone;
-  if (s == "halted") return ExitReason::kStopped;
-  if (s == "no_room") return ExitReason::kNoRoom;
-  if (s == "in_use") return ExitReason::kBusy;
-  if (s == "no_such") return ExitReason::kUnknown;
+ExitReason ParseExit(std::string_view word) {
+  if (word == "done") return ExitReason::kDone;
+  if (word == "halted") return ExitReason::kStopped;
+  if (word == "no_room") return ExitReason::kNoRoom;
+  if (word == "in_use") return ExitReason::kBusy;
+  if (word == "no_such") return ExitReason::kUnknown;
   // Of gangs: a mate left, or the mates did not come in time.
-  if (s == "mates_gone" || s == "alone") return ExitReason::kPeers;
+  if (word == "mates_gone" || word == "alone") return ExitReason::kPeers;
   return ExitReason::kError;
 }
 
@@ -53,29 +55,29 @@
 std::optional<Report> DecodeReport(std::string_view body) {
   std::optional<Json> doc = Unpack(body);
   if (!doc || !doc->is_object()) return std::nullopt;
-  const Json& m = *doc;
-  Report r;
-  std::optional<std::string> machine = Text(m, "host");
-  std::optional<uint64_t> session = Count(m, "shift"), seq = Count(m, "tally");
+  const Json& map = *doc;
+  Report report;
+  std::optional<std::string> machine = Text(map, "host");
+  std::optional<uint64_t> session = Count(map, "shift"), seq = Count(map, "tally");
   if (!machine || machine->empty() || !session || !seq) return std::nullopt;
-  r.machine = *machine;
-  r.addr = Text(m, "address").value_or("");
-  r.type = Text(m, "build").value_or("");
-  r.zone = Text(m, "room").value_or("");
-  r.spot = Flag(m, "loaners").value_or(false);
-  r.session = *session;
-  r.seq = *seq;
-  r.token = Count(m, "baton").value_or(0);
-  if (std::optional<double> n = Number(m, "warning_s")) r.notice = FromSeconds(*n);
+  report.machine = *machine;
+  report.addr = Text(map, "address").value_or("");
+  report.type = Text(map, "build").value_or("");
+  report.zone = Text(map, "room").value_or("");
+  report.spot = Flag(map, "loaners").value_or(false);
+  report.session = *session;
+  report.seq = *seq;
+  report.token = Count(map, "baton").value_or(0);
+  if (std::optional<double> notice = Number(map, "warning_s")) report.notice = FromSeconds(*notice);
   // Both names of the list were seen in descriptions; see docs/questions.md.
-  const Json* tasks = Find(m, "pieces");
+  const Json* tasks = Find(map, "pieces");
   if (tasks != nullptr) {
     if (!tasks->is_array()) return std::nullopt;
-    for (const Json& t : *tasks) {
+    for (const Json& item : *tasks) {
       TaskReport task;
-      std::optional<std::string> name = Text(t, "piece");
-      std::optional<uint64_t> attempt = Count(t, "try");
-      std::optional<TaskState> state = ParseTaskState(Text(t, "status").value_or(""));
+      std::optional<std::string> name = Text(item, "piece");
+      std::optional<uint64_t> attempt = Count(item, "try");
+      std::optional<TaskState> state = ParseTaskState(Text(item, "status").value_or(""));
       // A report that we can read only in part must not prove an absence.
       if (!name || !attempt || !state || !SplitTask(*name, &task.job, &task.task)) {
         return std::nullopt;
@@ -83,35 +85,35 @@
       task.attempt = *attempt;
       task.state = *state;
       if (task.state == TaskState::kExited) {
-        std::optional<std::string> why = Text(t, "cause");
-        if (!why) why = Text(t, "why");
+        std::optional<std::string> why = Text(item, "cause");
+        if (!why) why = Text(item, "why");
         task.why = ParseExit(why.value_or("error"));
       }
-      task.saved = Flag(t, "stored").value_or(false);
-      r.tasks.push_back(std::move(task));
+      task.saved = Flag(item, "stored").value_or(false);
+      report.tasks.push_back(std::move(task));
     }
   }
-  return r;
+  return report;
 }
 
-std::string EncodeReport(const Report& r) {
+std::string EncodeReport(const Report& report) {
   static constexpr const char* kStates[] = {"pulling", "running", "flushing", "ended"};
   static constexpr const char* kReasons[] = {"",        "done",   "halted",  "error",
                                              "no_room", "in_use", "no_such", "mates_gone"};
   Json tasks = Json::array();
-  for (const TaskReport& t : r.tasks) {
-    Json o = {{"piece", t.job + "/" + std::to_string(t.task)},
-              {"try", t.attempt},
-              {"status", kStates[static_cast<int>(t.state)]}};
-    if (t.why != ExitReason::kNone) o["cause"] = kReasons[static_cast<int>(t.why)];
-    if (t.saved) o["stored"] = true;
-    tasks.push_back(std::move(o));
+  for (const TaskReport& task : report.tasks) {
+    Json item = {{"piece", task.job + "/" + std::to_string(task.task)},
+                 {"try", task.attempt},
+                 {"status", kStates[static_cast<int>(task.state)]}};
+    if (task.why != ExitReason::kNone) item["cause"] = kReasons[static_cast<int>(task.why)];
+    if (task.saved) item["stored"] = true;
+    tasks.push_back(std::move(item));
   }
-  Json m = {{"host", r.machine}, {"address", r.addr}, {"build", r.type},
-            {"room", r.zone},    {"loaners", r.spot}, {"shift", r.session},
-            {"tally", r.seq},    {"baton", r.token},  {"pieces", std::move(tasks)}};
-  if (r.notice) m["warning_s"] = ToSeconds(*r.notice);
-  return Pack(m);
+  Json map = {{"host", report.machine}, {"address", report.addr}, {"build", report.type},
+              {"room", report.zone},    {"loaners", report.spot}, {"shift", report.session},
+              {"tally", report.seq},    {"baton", report.token},  {"pieces", std::move(tasks)}};
+  if (report.notice) map["warning_s"] = ToSeconds(*report.notice);
+  return Pack(map);
 }
 
 std::string EncodeReportReply(uint64_t token, const std::vector<Command>& commands) {
--- a/tests/fake_cloud.cc
+++ b/tests/fake_cloud.cc
@@ -4,6 +4,7 @@
 
 namespace troutlink::test {
 namespace {
+constexpr Micros kNever = 1000000000 * kSecond;
 
 Json MachineTypes() {
   Json types = Json::array();
@@ -65,6 +66,7 @@
         make_worker_(body.at("build").get<std::string>(), body.at("loaners").get<bool>());
     worker.zone = body.at("room").get<std::string>();
     worker.next_report = worker.lease_from = now + (boot_time ? boot_time() : 5 * kSecond);
+    if (dead_zones.count(worker.zone) != 0) worker.lease_from = worker.next_report = kNever;
     hosts.push_back(worker.name);
     rented_names_.insert(worker.name);
   }
--- a/tests/fake_cloud.h
+++ b/tests/fake_cloud.h
@@ -30,6 +30,7 @@
   bool down = false;                  // 503 to all
   int capacity = 100;                 // machines that can still be rented
   std::function<Micros()> boot_time;  // of the next machine that is rented; unset: 5 s
+  std::set<std::string> dead_zones;   // machines that are rented there never come up
   int rentals = 0, returns = 0;       // machines, in all
 
  private:
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -1,6 +1,8 @@
 // Machines that are rented, moved between shards, set aside and returned.
 #include <gtest/gtest.h>
 
+#include <algorithm>
+
 #include "test_support.h"
 #include "world.h"
 
@@ -132,5 +134,36 @@
   EXPECT_KEPT(w);
 }
 
+// Where machines never come up, others are rented elsewhere, and it is tried again later.
+TEST(Fleet, AZoneWhereMachinesNeverComeUpIsPreferredLess) {
+  World w(1);  // each node remembers what it rented
+  w.Run(kReady);
+  w.cloud.dead_zones = {"z1"};
+  w.SetRunTime("job-1", 20 * kSecond);
+  Accept(w, 0, World::Array("job-1", 40));
+  auto rented = [&w](const std::string& zone) {
+    return std::count_if(w.workers.begin(), w.workers.end(),
+                         [&zone](const auto& entry) { return entry.second->zone == zone; });
+  };
+  w.Run(90 * kSecond);
+  EXPECT_EQ(Status(w, 0, "job-1"), "done");
+  // The machines of the other zone are back: both would be rented alike.
+  ASSERT_TRUE(w.Until([&] { return w.cloud.capacity == 100; }, 60 * kSecond));
+  const auto dead = rented("z1"), good = rented("z2");
+  EXPECT_GT(dead, 0);
+  w.SetRunTime("job-2", 20 * kSecond);
+  Accept(w, 0, World::Array("job-2", 40));
+  w.Run(30 * kSecond);
+  EXPECT_EQ(rented("z1"), dead);
+  EXPECT_GT(rented("z2"), good);
+  // What never came up was given back.
+  w.Run(60 * kSecond);
+  for (const auto& [name, worker] : w.workers) {
+    if (worker->zone != "z1") continue;
+    EXPECT_TRUE(worker->dead) << name;
+  }
+  EXPECT_KEPT(w);
+}
+
 }  // namespace
 }  // namespace troutlink::test
