--- a/src/core/core.h
+++ b/src/core/core.h
@@ -123,7 +123,8 @@
     std::string previous_leader;  // of the leadership records that we saw, other than ours
     Micros leaderless_since = 0;
     Micros elected_at = 0;
-    int silent = 0;  // machines that were up and are missed
+    Micros heard_few_at = 0;  // most machines were silent at once then; 0: never
+    int silent = 0;           // machines that were up and are missed
     Micros no_election_before = 0;
     bool acquiring = false;
     bool releasing = false;
--- a/src/core/leadership.cc
+++ b/src/core/leadership.cc
@@ -120,6 +120,7 @@
   shard.epoch = revision;
   shard.elected_at = now;
   shard.releasing = false;
+  shard.heard_few_at = 0;
   shard.committing = false;
   shard.progress_at = now + FromSeconds(settings_.op.progress_period_s());
   Log(LogLine::Level::kInfo, "elected leader of shard " + std::to_string(shard_id) +
--- a/src/core/reports.cc
+++ b/src/core/reports.cc
@@ -96,7 +96,9 @@
                          now - info->redirected_at > kSecond;
   auto peer = peers_.find(leader);
   const bool reachable = peer != peers_.end() && now - peer->second.heard < 2 * kSecond;
-  if (came_back && reachable) info->relay_until = now + kRelayFor;
+  // Nor does one that its leader itself misses: on its way round all nodes its lease ended.
+  const bool missed = info->reported_silent_since != 0;
+  if ((came_back || missed) && reachable) info->relay_until = now + kRelayFor;
   return now < info->relay_until && reachable;
 }
 
--- a/src/core/silence.cc
+++ b/src/core/silence.cc
@@ -57,6 +57,11 @@
   // When most fall silent at once, it is rather we who cannot hear, all the more when
   // none is heard.
   const bool hears_few = total >= 3 && silent_ones * 10 > total * 6;
+  if (hears_few) shard.heard_few_at = now;
+  // When the first machines are heard again, the others are on their way: a leader that had
+  // lost all its workers for 11 s gave up those that were not among the first 40% to be back.
+  const bool heard_few_lately =
+      shard.heard_few_at != 0 && now - shard.heard_few_at < settings_.lease;
   const bool hears_nobody = hears_few && silent_ones * 20 > total * 19;
   const std::set<std::string> cut = ZonesCutOff(now);
   for (const auto& [name, m] : shard.assignments.machines) {
@@ -71,7 +76,7 @@
     // as no cancel can be overrun. When we seem to be deaf we wait as long, but not
     // for ever. Not longer either: a zone that was away for 60 s had its replicas
     // missed for a third of that time (see docs/rounds.md).
-    const bool kept = hears_few || cut.count(m.zone) != 0;
+    const bool kept = heard_few_lately || cut.count(m.zone) != 0;
     Micros patience = hears_nobody ? 4 * settings_.cancel
                       : kept       ? Longest(settings_.cancel) + 300 * kMilli
                                    : settings_.lease - std::min(settings_.lease / 20, kReturnTakes);
--- a/tests/workers_test.cc
+++ b/tests/workers_test.cc
@@ -1,6 +1,8 @@
 // Reports, sessions, commands, and what proves that a task is gone.
 #include <gtest/gtest.h>
 
+#include <vector>
+
 #include "test_support.h"
 #include "world.h"
 
@@ -54,6 +56,43 @@
   EXPECT_KEPT(w);
 }
 
+// With one node away, a worker that lost its leader once went round the others for longer than
+// its lease before it was relayed.
+TEST(Workers, WorkersThatTheirLeaderMissesAreRelayedAtOnce) {
+  for (size_t away : {1, 2}) {
+    SCOPED_TRACE(testing::Message() << "away: the leader's neighbour " << away);
+    Running w(6);
+    w.Kill((w.leader + away) % 3);
+    w.Run(8 * kSecond);
+    const int starts = Starts(w);
+    w.cut_from_workers = {w.leader};
+    w.Run(30 * kSecond);
+    EXPECT_EQ(w.OnMachines("job-5"), 6);
+    EXPECT_EQ(Starts(w), starts);
+    EXPECT_KEPT(w);
+  }
+}
+
+// Nodes that hear their workers again give all of them the time to be back.
+TEST(Workers, WorkersThatComeBackOneByOneAreNotGivenUp) {
+  Running w(40);
+  std::vector<FakeWorker*> busy;
+  for (const auto& [name, worker] : w.workers) {
+    if (worker->Has("job-5")) busy.push_back(worker.get());
+  }
+  ASSERT_GE(busy.size(), 5u);
+  for (FakeWorker* worker : busy) worker->silent = true;
+  w.Run(9 * kSecond);
+  for (FakeWorker* worker : busy) {
+    worker->silent = false;
+    w.Run(kSecond);
+  }
+  w.Run(15 * kSecond);
+  for (const FakeWorker* worker : busy) EXPECT_FALSE(worker->dead) << worker->name;
+  EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-5") == 40; }, 10 * kSecond));
+  EXPECT_KEPT(w);
+}
+
 TEST(Workers, ANewSessionStartsItsTasksAgainOnce) {
   World w;
   w.Run(kReady);
