--- a/src/core/core.h
+++ b/src/core/core.h
@@ -503,6 +503,22 @@
   struct Plan;
   struct Preemptible;
   struct PreemptibleTask;
+  struct Waiting;
+  // Cpus that are kept free on steady machines: in all, in each zone for services that spread,
+  // and where each service's image is.
+  struct Headroom {
+    int64_t steady = 0;
+    int64_t zone = 0;
+    int64_t image = 0;
+    bool lend = false;  // work that saves nothing may use it
+  };
+  Headroom HeadroomOf(int shard_id, const Plan& plan) const;
+  size_t MaxJobsOfRound(int shard_id) const;
+  Share KeptForServices(const JobSpec& spec, const Team& team) const;
+  std::map<std::string, Share> UseEverywhere(int shard_id, const Plan& plan) const;
+  std::vector<Waiting> CollectWaiting(Micros now, int shard_id, const Plan& plan);
+  static void NoteArrayPeak(Micros now, Shard* shard, double array_cpus);
+  void OrderWaiting(Micros now, const Plan& plan, std::vector<Waiting>* waiting) const;
   void Round(Micros now, int shard_id);
   void LogShardState(int shard_id, const Plan& plan);
   struct Offer {
--- a/src/core/placing.cc
+++ b/src/core/placing.cc
@@ -1,10 +1,8 @@
 // Which waiting tasks start in a round, in which order, and where.
 #include <algorithm>
 #include <memory>
-#include <tuple>
 
 #include "core/core.h"
-#include "core/order.h"
 #include "core/plan.h"
 #include "core/quota.h"
 
@@ -15,172 +13,72 @@
 constexpr size_t kOtherConditions = 10;
 constexpr Micros kArrayPatience = 2 * kSecond;       // before an array stops other work
 constexpr Micros kGuaranteePatience = 300 * kMilli;  // the same within its team's guarantee
-constexpr Priority kAgedRank = Priority::kHigh;
-constexpr int kMaxPreemptions = 32;  // jobs that others make way for in one round
-constexpr int64_t kLendBelow = 10;   // steady cpus for each that is kept free
+constexpr int kMaxPreemptions = 32;                  // jobs that others make way for in one round
+constexpr int64_t kLendBelow = 10;                   // steady cpus for each that is kept free
 }  // namespace
 
-// By the deadline, and by what the objectives expect of the class; earliest first.
-std::vector<Micros> Core::LatestStarts(const JobRecord& record) const {
-  const JobSpec& spec = record.spec;
-  std::vector<Micros> out;
-  if (spec.deadline > 0) out.push_back(spec.deadline - spec.estimate);
-  for (const Objective& o : settings_.objectives) {
-    if (o.job_class != spec.job_class) continue;
-    if (o.kind == Objective::Kind::kWait && o.within > 0) out.push_back(o.within);
-    if (o.kind == Objective::Kind::kFinished && o.within > 0) {
-      out.push_back(o.within - spec.estimate);
-    }
-    if (o.kind == Objective::Kind::kDeadline && spec.deadline > 0) {
-      out.push_back(static_cast<Micros>(o.times * static_cast<double>(spec.deadline)) -
-                    spec.estimate);
-    }
-  }
-  if (out.empty()) out.push_back(600 * kSecond);
-  std::sort(out.begin(), out.end());
-  out.erase(std::unique(out.begin(), out.end()), out.end());
-  for (Micros& at : out) at += record.submitted;
-  return out;
-}
-
-Micros Core::LatestStart(const JobRecord& record) const { return LatestStarts(record).front(); }
-
-void Core::PlanPlacement(Micros now, int shard_id, Plan* plan) {
-  Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  struct Waiting {
-    const JobSpec* spec;
-    JobRun* run;
-    int tasks;
-    Priority rank;               // its place in the order; its priority, or higher once aged
-    bool within;                 // its team's guarantee
-    bool aged;                   // has waited too long without a start
-    std::vector<Micros> limits;  // latest starts, one for each aim
-    size_t tier;                 // the first of them that can be kept
-    double work;                 // cpu seconds that wait
-    Micros submitted;
-    int moves;
-    bool lost() const { return tier >= limits.size(); }
-    Micros key() const { return lost() ? submitted : limits[tier]; }
-  };
-  std::map<std::string, Share> everywhere = plan->use.teams;  // over all shards
-  for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
-    if (other_id == shard_id) continue;
-    for (const auto& [team, use] : shards_[static_cast<size_t>(other_id)].use.teams) {
-      everywhere[team].cpus += use.cpus;
-      everywhere[team].gpus += use.gpus;
-    }
-  }
-  std::vector<Waiting> waiting;
-  double array_cpus = 0;
-  for (auto& [id, run] : runs_) {
-    if (run.shard_id != shard_id) continue;
-    const JobEntry* job = FindJob(id);
-    if (job == nullptr || JobOver(id)) continue;
-    const JobSpec& spec = job->record.spec;
-    int left = static_cast<int>(run.tasks.size()) - run.done - run.placed;
-    if (spec.kind != JobKind::kService) {
-      array_cpus += static_cast<double>((left + run.placed) * spec.each.cpus);
-    }
-    if (left <= 0 || now < health_.NextStart(id)) continue;
-    // A gang starts whole: those that are left of a broken one leave first.
-    if (spec.kind == JobKind::kGang && run.placed > 0) continue;
-    const Team* team = FindTeam(spec.team);
-    if (team == nullptr) continue;
-    bool within = team->cpus > 0 && everywhere[spec.team].cpus + spec.each.cpus <= team->cpus;
-    // Whatever the order, nothing waits for ever: what has waited long without a
-    // single start comes first.
-    const Micros starve = FromSeconds(settings_.op.starve_s());
-    const bool aged =
-        run.done + run.placed == 0 && starve > 0 && WallNow(now) - job->record.submitted > starve;
-    // Where more important work leaves no room at all, one task of it starts in its place.
-    Priority rank = spec.priority;
-    if (aged && spec.kind == JobKind::kArray && spec.priority < kAgedRank) {
-      rank = kAgedRank;
-      left = 1;
-    }
-    std::vector<Micros> limits = LatestStarts(job->record);
-    size_t tier = 0;
-    while (spec.kind != JobKind::kService && tier < limits.size() && limits[tier] < WallNow(now)) {
-      ++tier;
-    }
-    double work = static_cast<double>(left * spec.each.cpus) / 1000 * ToSeconds(spec.estimate);
-    waiting.push_back({&spec, &run, left, rank, within, aged, std::move(limits), tier, work,
-                       job->record.submitted, job->record.moves});
-  }
-  // The recent peak fades within a minute, and to nothing: a share of it that
-  // only dwindled would keep a last machine for long.
-  double faded = shard.peak * std::max(0.0, 1.0 - ToSeconds(now - shard.peak_at) / 60.0);
-  if (array_cpus >= faded) {
-    shard.peak = faded = array_cpus;
-    shard.peak_at = now;
-  }
-  shard.array_peak = faded;
-  // Most urgent first, as long as all can be in time. When they cannot, what costs
-  // most is put off until its next aim, so that as many as possible are (Moore and
-  // Hodgson). Late ones come last, in the order of their coming.
-  double capacity = 0;
-  for (const PlaceMachine& m : plan->machines) {
-    capacity += static_cast<double>(std::max<int64_t>(0, m.free.cpus) + m.preemptible.cpus) / 1000;
-  }
-  auto group = [](const Waiting& w) {
-    return std::make_tuple(-static_cast<int>(w.rank), !w.within, !w.aged);
-  };
-  auto before = [&group](const Waiting& a, const Waiting& b) {
-    if (auto x = group(a), y = group(b); x != y) return x < y;
-    if (a.aged && a.submitted != b.submitted) return a.submitted < b.submitted;
-    const size_t s = a.lost() ? SIZE_MAX : a.tier, t = b.lost() ? SIZE_MAX : b.tier;
-    if (s != t) return s < t;
-    if (a.key() != b.key()) return a.key() < b.key();
-    return a.spec->id < b.spec->id;
-  };
-  std::sort(waiting.begin(), waiting.end(), before);
-  double ahead = 0;  // cpu seconds of what comes first
-  for (auto from = waiting.begin(); capacity > 0 && from != waiting.end();) {
-    auto to = std::find_if(from, waiting.end(),
-                           [&](const Waiting& w) { return group(w) != group(*from); });
-    if (from->spec->kind != JobKind::kService && !from->aged) {
-      std::vector<OrderItem> items;
-      for (auto w = from; w != to; ++w) items.push_back({&w->limits, w->work, w->tier});
-      PutOff(WallNow(now), capacity, ahead, &items);
-      for (auto w = from; w != to; ++w) w->tier = items[static_cast<size_t>(w - from)].tier;
-    }
-    for (; from != to; ++from) ahead += from->work;
-  }
-  std::sort(waiting.begin(), waiting.end(), before);
-  // Batches widen with the load.
-  uint32_t batch = std::max(shard.batch, settings_.op.batch());
-  uint32_t started = 0;
-  // Conditions are limited too: the leadership, the chunks of this shard and of one other,
-  // and some jobs that are done or move take theirs.
-  size_t others = 0;
-  for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
-    if (other_id != shard_id)
-      others = std::max(others, shards_[static_cast<size_t>(other_id)].chunks.size());
+// How much room services keep, and whether work that stops at once may use it.
+Core::Headroom Core::HeadroomOf(int shard_id, const Plan& plan) const {
+  Headroom headroom;
+  headroom.steady = plan.headroom;
+  if (SpreadServices(shard_id)) {
+    headroom.zone =
+        headroom.steady / static_cast<int64_t>(std::max<size_t>(1, settings_.zones.size()));
   }
-  const size_t taken = shard.chunks.size() + others + kOtherConditions;
-  const size_t conditions = 4 * static_cast<size_t>(settings_.txn_ops);
-  const size_t most_jobs = conditions > taken ? conditions - taken : 1;
-  const int64_t headroom = plan->headroom;
-  const int64_t zone_headroom =
-      SpreadServices(shard_id)
-          ? headroom / static_cast<int64_t>(std::max<size_t>(1, settings_.zones.size()))
-          : 0;
   // Stopping lent work takes its time, some of which a service start does not
   // have: where the room that is kept is small beside all there is, it stays free.
   int64_t steady = 0, largest = 0;
-  for (const PlaceMachine& m : plan->machines) {
-    if (m.usable && !m.spot) steady += m.size.cpus;
+  for (const PlaceMachine& machine : plan.machines) {
+    if (machine.usable && !machine.spot) steady += machine.size.cpus;
   }
-  const bool lend = headroom * kLendBelow > steady;
+  headroom.lend = headroom.steady * kLendBelow > steady;
   for (const auto& [id, run] : runs_) {
     const JobEntry* job = run.shard_id == shard_id ? FindJob(id) : nullptr;
     if (job == nullptr || job->record.spec.kind != JobKind::kService) continue;
     largest = std::max(largest, job->record.spec.tasks * job->record.spec.each.cpus);
   }
   // With room to spare, half of the largest service finds its image at once.
-  int64_t image_headroom =
-      headroom > 0 ? static_cast<int64_t>(1000 * settings_.op.image_headroom_cpus()) : 0;
-  if (!lend) image_headroom = std::max(image_headroom, std::min(largest / 2, headroom));
+  if (headroom.steady > 0) {
+    headroom.image = static_cast<int64_t>(1000 * settings_.op.image_headroom_cpus());
+  }
+  if (!headroom.lend) {
+    headroom.image = std::max(headroom.image, std::min(largest / 2, headroom.steady));
+  }
+  return headroom;
+}
+
+// Conditions of a transaction are limited: the leadership, the chunks of this shard and of
+// one other, and some jobs that are done or move take theirs.
+size_t Core::MaxJobsOfRound(int shard_id) const {
+  size_t others = 0;
+  for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
+    if (other_id == shard_id) continue;
+    others = std::max(others, shards_[static_cast<size_t>(other_id)].chunks.size());
+  }
+  const size_t taken =
+      shards_[static_cast<size_t>(shard_id)].chunks.size() + others + kOtherConditions;
+  const size_t conditions = 4 * static_cast<size_t>(settings_.txn_ops);
+  return conditions > taken ? conditions - taken : 1;
+}
+
+// Arrays leave a little of the team's limit to its own services.
+Share Core::KeptForServices(const JobSpec& spec, const Team& team) const {
+  Share kept;
+  if (spec.priority == Priority::kProduction || service_teams_.count(spec.team) == 0) return kept;
+  const auto headroom = static_cast<int64_t>(1000 * settings_.op.team_headroom_cpus());
+  kept.cpus = std::min<int64_t>(headroom, team.cpus_max / 4) / settings_.shard_count();
+  return kept;
+}
+
+void Core::PlanPlacement(Micros now, int shard_id, Plan* plan) {
+  Shard& shard = shards_[static_cast<size_t>(shard_id)];
+  std::vector<Waiting> waiting = CollectWaiting(now, shard_id, *plan);
+  OrderWaiting(now, *plan, &waiting);
+  // Batches widen with the load.
+  uint32_t batch = std::max(shard.batch, settings_.op.batch());
+  uint32_t started = 0;
+  const size_t most_jobs = MaxJobsOfRound(shard_id);
+  const Headroom headroom = HeadroomOf(shard_id, *plan);
   int preemptions = 0, array_preemptions = 0;
   const std::optional<Priority> lowest = LowestPlacedPriority(shard_id);
   // Reserved machines stand partly idle: a few of them at a time.
@@ -193,13 +91,7 @@
     const Team& team = *FindTeam(spec.team);
     const bool tail = plan->assignments.helps.count(spec.id) != 0;
     const JobSpread& spread = plan->SpreadOf(spec);
-    // Arrays leave a little of the team's limit to its own services.
-    Share kept;
-    if (spec.priority != Priority::kProduction && service_teams_.count(spec.team) != 0) {
-      kept.cpus = std::min<int64_t>(static_cast<int64_t>(1000 * settings_.op.team_headroom_cpus()),
-                                    team.cpus_max / 4) /
-                  settings_.shard_count();
-    }
+    const Share kept = KeptForServices(spec, team);
     bool asked_share = false;
     const bool gang = spec.kind == JobKind::kGang;
     // A service that spreads is not begun where it cannot be completed, as long
@@ -215,10 +107,10 @@
     request.spec = &spec;
     request.spread = &spread;
     request.tail = tail;
-    request.steady_headroom = headroom;
-    request.zone_headroom = zone_headroom;
-    request.image_headroom = image_headroom;
-    request.lend = lend;
+    request.steady_headroom = headroom.steady;
+    request.zone_headroom = headroom.zone;
+    request.image_headroom = headroom.image;
+    request.lend = headroom.lend;
     // An array of the same shape found no machine a moment ago: nor will this one.
     const std::string shape =
         spec.kind != JobKind::kArray || spec.spread || spec.one_zone || tail ? "" : ShapeOf(spec);
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -11,6 +11,23 @@
 
 namespace troutlink {
 
+// The tasks of one job that wait for a start.
+struct Core::Waiting {
+  const JobSpec* spec;
+  JobRun* run;
+  int tasks;
+  Priority rank;               // its place in the order; its priority, or higher once aged
+  bool within;                 // its team's guarantee
+  bool aged;                   // has waited too long without a start
+  std::vector<Micros> limits;  // latest starts, one for each aim
+  size_t tier;                 // the first of them that can be kept
+  double work;                 // cpu seconds that wait
+  Micros submitted;
+  int moves;
+  bool lost() const { return tier >= limits.size(); }
+  Micros key() const { return lost() ? submitted : limits[tier]; }
+};
+
 // A task that may be stopped for more important work.
 struct Core::PreemptibleTask {
   Attempt attempt;
--- a/src/core/shard_choice.cc
+++ b/src/core/shard_choice.cc
@@ -123,6 +123,7 @@
   double mean = 0;
   for (const Room& room : rooms) mean += room.size / static_cast<double>(rooms.size());
   std::vector<double> score;
+  score.reserve(rooms.size());
   for (const Room& room : rooms) score.push_back(ScoreOf(spec, room, mean));
   size_t best = StableHash(spec.id) % shards_.size();
   for (size_t shard_id = 0; shard_id < shards_.size(); ++shard_id) {
--- /dev/null
+++ b/src/core/waiting.cc
@@ -0,0 +1,146 @@
+// Which tasks wait in a shard, and in which order they are served.
+#include <algorithm>
+#include <tuple>
+
+#include "core/core.h"
+#include "core/order.h"
+#include "core/plan.h"
+
+namespace troutlink {
+
+namespace {
+// A job that waited too long without a start counts as at least so important.
+constexpr Priority kAgedRank = Priority::kHigh;
+constexpr double kPeakFades = 60;  // seconds
+}  // namespace
+
+// By the deadline, and by what the objectives expect of the class; earliest first.
+std::vector<Micros> Core::LatestStarts(const JobRecord& record) const {
+  const JobSpec& spec = record.spec;
+  std::vector<Micros> out;
+  if (spec.deadline > 0) out.push_back(spec.deadline - spec.estimate);
+  for (const Objective& o : settings_.objectives) {
+    if (o.job_class != spec.job_class) continue;
+    if (o.kind == Objective::Kind::kWait && o.within > 0) out.push_back(o.within);
+    if (o.kind == Objective::Kind::kFinished && o.within > 0) {
+      out.push_back(o.within - spec.estimate);
+    }
+    if (o.kind == Objective::Kind::kDeadline && spec.deadline > 0) {
+      out.push_back(static_cast<Micros>(o.times * static_cast<double>(spec.deadline)) -
+                    spec.estimate);
+    }
+  }
+  if (out.empty()) out.push_back(600 * kSecond);
+  std::sort(out.begin(), out.end());
+  out.erase(std::unique(out.begin(), out.end()), out.end());
+  for (Micros& at : out) at += record.submitted;
+  return out;
+}
+
+Micros Core::LatestStart(const JobRecord& record) const { return LatestStarts(record).front(); }
+
+// What each team uses over all shards, with this shard's as its plan has it.
+std::map<std::string, Share> Core::UseEverywhere(int shard_id, const Plan& plan) const {
+  std::map<std::string, Share> everywhere = plan.use.teams;  // over all shards
+  for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
+    if (other_id == shard_id) continue;
+    for (const auto& [team, use] : shards_[static_cast<size_t>(other_id)].use.teams) {
+      everywhere[team].cpus += use.cpus;
+      everywhere[team].gpus += use.gpus;
+    }
+  }
+  return everywhere;
+}
+
+// All that waits for a start in a shard.
+std::vector<Core::Waiting> Core::CollectWaiting(Micros now, int shard_id, const Plan& plan) {
+  std::map<std::string, Share> everywhere = UseEverywhere(shard_id, plan);
+  std::vector<Waiting> waiting;
+  double array_cpus = 0;
+  for (auto& [id, run] : runs_) {
+    if (run.shard_id != shard_id) continue;
+    const JobEntry* job = FindJob(id);
+    if (job == nullptr || JobOver(id)) continue;
+    const JobSpec& spec = job->record.spec;
+    int left = static_cast<int>(run.tasks.size()) - run.done - run.placed;
+    if (spec.kind != JobKind::kService) {
+      array_cpus += static_cast<double>((left + run.placed) * spec.each.cpus);
+    }
+    if (left <= 0 || now < health_.NextStart(id)) continue;
+    // A gang starts whole: those that are left of a broken one leave first.
+    if (spec.kind == JobKind::kGang && run.placed > 0) continue;
+    const Team* team = FindTeam(spec.team);
+    if (team == nullptr) continue;
+    bool within = team->cpus > 0 && everywhere[spec.team].cpus + spec.each.cpus <= team->cpus;
+    // Whatever the order, nothing waits for ever: what has waited long without a
+    // single start comes first.
+    const Micros starve = FromSeconds(settings_.op.starve_s());
+    const bool aged =
+        run.done + run.placed == 0 && starve > 0 && WallNow(now) - job->record.submitted > starve;
+    // Where more important work leaves no room at all, one task of it starts in its place.
+    Priority rank = spec.priority;
+    if (aged && spec.kind == JobKind::kArray && spec.priority < kAgedRank) {
+      rank = kAgedRank;
+      left = 1;
+    }
+    std::vector<Micros> limits = LatestStarts(job->record);
+    size_t tier = 0;
+    while (spec.kind != JobKind::kService && tier < limits.size() && limits[tier] < WallNow(now)) {
+      ++tier;
+    }
+    double work = static_cast<double>(left * spec.each.cpus) / 1000 * ToSeconds(spec.estimate);
+    waiting.push_back({&spec, &run, left, rank, within, aged, std::move(limits), tier, work,
+                       job->record.submitted, job->record.moves});
+  }
+  NoteArrayPeak(now, &shards_[static_cast<size_t>(shard_id)], array_cpus);
+  return waiting;
+}
+
+// The recent peak of array work fades within a minute, and to nothing: a share of it that
+// only dwindled would keep a last machine for long.
+void Core::NoteArrayPeak(Micros now, Shard* shard, double array_cpus) {
+  const double age = ToSeconds(now - shard->peak_at);
+  double faded = shard->peak * std::max(0.0, 1.0 - age / kPeakFades);
+  if (array_cpus >= faded) {
+    shard->peak = faded = array_cpus;
+    shard->peak_at = now;
+  }
+  shard->array_peak = faded;
+}
+
+// Most urgent first, as long as all can be in time. When they cannot, what costs
+// most is put off until its next aim, so that as many as possible are (Moore and
+// Hodgson). Late ones come last, in the order of their coming.
+void Core::OrderWaiting(Micros now, const Plan& plan, std::vector<Waiting>* waiting) const {
+  double capacity = 0;
+  for (const PlaceMachine& m : plan.machines) {
+    capacity += static_cast<double>(std::max<int64_t>(0, m.free.cpus) + m.preemptible.cpus) / 1000;
+  }
+  auto group = [](const Waiting& w) {
+    return std::make_tuple(-static_cast<int>(w.rank), !w.within, !w.aged);
+  };
+  auto before = [&group](const Waiting& a, const Waiting& b) {
+    if (auto x = group(a), y = group(b); x != y) return x < y;
+    if (a.aged && a.submitted != b.submitted) return a.submitted < b.submitted;
+    const size_t s = a.lost() ? SIZE_MAX : a.tier, t = b.lost() ? SIZE_MAX : b.tier;
+    if (s != t) return s < t;
+    if (a.key() != b.key()) return a.key() < b.key();
+    return a.spec->id < b.spec->id;
+  };
+  std::sort(waiting->begin(), waiting->end(), before);
+  double ahead = 0;  // cpu seconds of what comes first
+  for (auto from = waiting->begin(); capacity > 0 && from != waiting->end();) {
+    auto to = std::find_if(from, waiting->end(),
+                           [&](const Waiting& w) { return group(w) != group(*from); });
+    if (from->spec->kind != JobKind::kService && !from->aged) {
+      std::vector<OrderItem> items;
+      for (auto w = from; w != to; ++w) items.push_back({&w->limits, w->work, w->tier});
+      PutOff(WallNow(now), capacity, ahead, &items);
+      for (auto w = from; w != to; ++w) w->tier = items[static_cast<size_t>(w - from)].tier;
+    }
+    for (; from != to; ++from) ahead += from->work;
+  }
+  std::sort(waiting->begin(), waiting->end(), before);
+}
+
+}  // namespace troutlink
