--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -126,7 +126,7 @@
     JobSpec spec = World::Array(id, 4);
     spec.each = {16000, 0, 32000};
     w.Submit(static_cast<size_t>(i % 3), spec);
-    w.Run((1 + i % 4) * 700 * kMilli);
+    w.Run((1 + i % 4) * (700 * kMilli));
   }
   for (size_t n = 0; n < 3; ++n) acquired_machines += w.core(n).counters().acquired_machines;
   EXPECT_GT(acquired_machines, 5u);
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -225,7 +225,7 @@
     for (size_t n = 0; n < 3; ++n) {
       if (moment % 4 == 3 || static_cast<int>(n) == moment % 4) w.Kill(n);
     }
-    w.Run((moment % 3) * 2 * kSecond + 100 * kMilli);
+    w.Run((moment % 3) * (2 * kSecond) + 100 * kMilli);
     for (size_t n = 0; n < 3; ++n) {
       if (!w.alive(n)) w.Start(n);
     }
@@ -259,12 +259,12 @@
     w.Run(300 * kMilli + moment * (130 * kMilli));
     const auto first = static_cast<size_t>(moment % 3);
     w.Kill(first);
-    w.Run((moment % 4) * 90 * kMilli);
+    w.Run((moment % 4) * (90 * kMilli));
     w.Start(first);
-    w.Run((moment % 5) * 60 * kMilli);
+    w.Run((moment % 5) * (60 * kMilli));
     // Between leaders: its shard has none, or the one that takes it goes as well.
     w.Kill((first + 1) % 3);
-    w.Run(3 * kSecond + (moment % 3) * 40 * kMilli);
+    w.Run(3 * kSecond + (moment % 3) * (40 * kMilli));
     w.Kill(first);
     w.Run(50 * kMilli);
     w.Start(first);
