--- a/tests/world.cc
+++ b/tests/world.cc
@@ -196,6 +196,7 @@
 // --- what nodes send ----------------------------------------------------------------
 
 void World::Dispatch(size_t node, const Outbox& out) {
+  digest_.Add(now, node, out);
   for (const Call& call : out.calls) Carry(node, call);
   for (const PeerMessage& message : out.peers) SendToPeer(node, message);
   for (const Reply& reply : out.replies) {
--- a/tests/world.h
+++ b/tests/world.h
@@ -12,6 +12,7 @@
 #include <vector>
 
 #include "core/core.h"
+#include "decision_digest.h"
 #include "fake_cloud.h"
 #include "fake_state.h"
 #include "fake_worker.h"
@@ -192,6 +193,7 @@
   void AnswerWatches();
   void RunEvents();
 
+  DecisionDigest digest_;
   Micros next_check_ = 0;
   Micros next_assigned_check_ = 0;
   std::vector<Node> nodes_;
