--- a/src/core/commands.cc
+++ b/src/core/agents/commands.cc
@@ -11,7 +11,7 @@
 }  // namespace
 
 uint64_t Core::TokenOf(int shard_id, const MachineInfo& info) const {
-  return std::max(TokenForEpoch(ShardAt(shard_id).epoch), info.fencing_token);
+  return std::max(TokenForEpoch(ShardAt(shard_id).leadership.epoch), info.fencing_token);
 }
 
 // A fencing token used to be a commit's revision: in an outage there was none, the machine's lease
@@ -61,7 +61,7 @@
     reported.insert({task.job, task.task, task.attempt});
     OrderForTask(now, machine, clean, task, &orders);
   }
-  if (ShardAt(shard_id).is_leader && clean) {
+  if (ShardAt(shard_id).leadership.is_leader && clean) {
     RepeatStarts(now, shard_id, machine, report, reported, &orders);
   }
   return orders;
@@ -121,8 +121,8 @@
 
 void Core::Push(Micros now, int shard_id, const std::string& name) {
   const Shard& shard = ShardAt(shard_id);
-  auto machine = shard.assignments.machines.find(name);
-  if (machine == shard.assignments.machines.end() || !shard.is_leader) return;
+  auto machine = shard.replica.assignments.machines.find(name);
+  if (machine == shard.replica.assignments.machines.end() || !shard.leadership.is_leader) return;
   MachineInfo& info = machines_[name];
   if (info.direct_busy || info.addr.empty() || now < info.no_direct_before) return;
   if (info.session == 0 || (info.probe && info.ignored_answers >= kMaxIgnoredAnswers)) {
@@ -137,19 +137,19 @@
   if (commands.orders.empty() && !show_token) return;
   info.direct_busy = true;
   std::string body = wire::EncodeCommands(commands.token, info.session, commands.orders);
-  Send(Dest::kWorker, info.addr, "POST", std::string(wire::kCommandsPath), std::move(body),
-       kCommandTimeout,
-       [this, shard_id, name, commands = std::move(commands)](Micros answered, int status,
-                                                              const std::string& reply) {
-         OnCommandsAnswered(answered, shard_id, name, commands, status, reply);
-       });
+  effects_.Send(Dest::kWorker, info.addr, "POST", std::string(wire::kCommandsPath), std::move(body),
+                kCommandTimeout,
+                [this, shard_id, name, commands = std::move(commands)](Micros answered, int status,
+                                                                       const std::string& reply) {
+                  OnCommandsAnswered(answered, shard_id, name, commands, status, reply);
+                });
 }
 
 Core::DirectCommands Core::MakeDirectCommands(Micros now, int shard_id,
                                               const AssignedMachine& machine,
                                               const MachineInfo& info) {
   DirectCommands commands;
-  commands.epoch = ShardAt(shard_id).epoch;
+  commands.epoch = ShardAt(shard_id).leadership.epoch;
   commands.token = TokenOf(shard_id, info);
   const bool clean = info.token_seen >= info.required_token;
   for (const Attempt& attempt : machine.attempts) {
@@ -202,9 +202,9 @@
   }
   info.direct_failures = 0;
   const Shard& shard = ShardAt(shard_id);
-  if (!shard.is_leader || shard.epoch != commands.epoch) return;
-  auto machine = shard.assignments.machines.find(name);
-  if (machine == shard.assignments.machines.end() || report->machine != name) return;
+  if (!shard.leadership.is_leader || shard.leadership.epoch != commands.epoch) return;
+  auto machine = shard.replica.assignments.machines.find(name);
+  if (machine == shard.replica.assignments.machines.end() || report->machine != name) return;
   ProcessReport(now, shard_id, machine->second, *report, true);
   if (status == 200) Push(now, shard_id, name);
 }
@@ -218,10 +218,10 @@
   MachineInfo& info = machines_[name];
   if (info.direct_busy || info.addr.empty() || now < info.no_direct_before) return;
   info.direct_busy = true;
-  Send(Dest::kWorker, info.addr, "GET", std::string(wire::kShowPath), "", kCommandTimeout,
-       [this, shard_id, name](Micros answered, int status, const std::string& body) {
-         OnProbeAnswered(answered, shard_id, name, status, body);
-       });
+  effects_.Send(Dest::kWorker, info.addr, "GET", std::string(wire::kShowPath), "", kCommandTimeout,
+                [this, shard_id, name](Micros answered, int status, const std::string& body) {
+                  OnProbeAnswered(answered, shard_id, name, status, body);
+                });
 }
 
 void Core::OnProbeAnswered(Micros now, int shard_id, const std::string& name, int status,
@@ -236,8 +236,8 @@
   }
   info.direct_failures = 0;
   const Shard& shard = ShardAt(shard_id);
-  auto machine = shard.assignments.machines.find(name);
-  if (!shard.is_leader || machine == shard.assignments.machines.end()) return;
+  auto machine = shard.replica.assignments.machines.find(name);
+  if (!shard.leadership.is_leader || machine == shard.replica.assignments.machines.end()) return;
   ProcessReport(now, shard_id, machine->second, *report, true);
   Push(now, shard_id, name);
 }
--- a/src/core/health.h
+++ b/src/core/agents/health.h
@@ -1,6 +1,6 @@
 // Tells machines that fail what they start from jobs that fail everywhere.
-#ifndef TROUTLINK_CORE_HEALTH_H_
-#define TROUTLINK_CORE_HEALTH_H_
+#ifndef TROUTLINK_CORE_AGENTS_HEALTH_H_
+#define TROUTLINK_CORE_AGENTS_HEALTH_H_
 
 #include <algorithm>
 #include <map>
@@ -110,4 +110,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_HEALTH_H_
+#endif  // TROUTLINK_CORE_AGENTS_HEALTH_H_
--- a/src/core/reports.cc
+++ b/src/core/agents/reports.cc
@@ -18,8 +18,8 @@
   if (source.peer.empty()) {
     Answer(source.request, status, std::move(body));
   } else {
-    out_.peers.push_back({source.peer, mesh::RelayReply{source.relay, static_cast<uint64_t>(status),
-                                                        std::move(body)}});
+    effects_.SendToPeer({source.peer, mesh::RelayReply{source.relay, static_cast<uint64_t>(status),
+                                                       std::move(body)}});
   }
 }
 
@@ -40,8 +40,8 @@
     return;
   }
   const Shard& shard = ShardAt(shard_id);
-  const bool superseded = shard.rival_epoch > shard.epoch;
-  if (shard.epoch != 0 && !superseded) {
+  const bool superseded = shard.leadership.rival_epoch > shard.leadership.epoch;
+  if (shard.leadership.epoch != 0 && !superseded) {
     AnswerAsLeader(now, source, shard_id, *report);
     return;
   }
@@ -64,7 +64,7 @@
     unknown_[report.machine] = report;
   }
   stray_since_.try_emplace(report.machine, now);
-  if (ShardAt(shard_id).is_leader) {
+  if (ShardAt(shard_id).leadership.is_leader) {
     MarkDirty(shard_id);
     AnswerReport(source, 503, wire::EncodeError("not adopted yet"));
   } else {
@@ -86,7 +86,7 @@
     ++counters_.relays;
     const uint64_t relay = next_relay_++;
     relays_[relay] = {source.request, now};
-    out_.peers.push_back({leader, mesh::Relay{relay, body}});
+    effects_.SendToPeer({leader, mesh::Relay{relay, body}});
     return;
   }
   info.redirected_at = now;
@@ -129,7 +129,7 @@
 bool Core::MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const {
   const Shard& shard = ShardAt(shard_id);
   if (StateFresh(now)) return false;
-  const uint64_t epoch = std::max(shard.leadership_version, shard.rival_epoch);
+  const uint64_t epoch = std::max(shard.replica.leadership_version, shard.leadership.rival_epoch);
   if (epoch == 0 || report.token < TokenForEpoch(epoch)) return false;
   const std::string leader = LeaderLabel(shard_id);
   if (leader.empty() || leader == settings_.label) return false;
@@ -160,8 +160,8 @@
 void Core::AnswerAsLeader(Micros now, const ReportSource& source, int shard_id,
                           const Report& report) {
   const Shard& shard = ShardAt(shard_id);
-  auto machine = shard.assignments.machines.find(report.machine);
-  if (machine == shard.assignments.machines.end()) {
+  auto machine = shard.replica.assignments.machines.find(report.machine);
+  if (machine == shard.replica.assignments.machines.end()) {
     AnswerReport(source, 503, wire::EncodeError("not adopted yet"));
     return;
   }
@@ -194,7 +194,7 @@
     orders = StopsOfOver(report);
   }
   NoteAnswer(now, &info, orders);
-  ++(shard.is_leader ? counters_.renewed : counters_.renewed_as_former_leader);
+  ++(shard.leadership.is_leader ? counters_.renewed : counters_.renewed_as_former_leader);
   AnswerRenewal(*permit, source, report, token, std::move(orders));
 }
 
@@ -251,7 +251,7 @@
   info->no_direct_before = std::min(info->no_direct_before, now);
   if (info->lease_losses < 2 && info->direct_failures == 0) return;
   info->give_up = true;
-  Log(LogLine::Level::kInfo, "giving up " + report.machine + ": it does not hear us");
+  effects_.Log(LogLine::Level::kInfo, "giving up " + report.machine + ": it does not hear us");
   MarkDirty(shard_id);
 }
 
--- a/src/core/silence.cc
+++ b/src/core/agents/silence.cc
@@ -28,8 +28,8 @@
   }
   if (out.empty()) return out;
   for (const Shard& shard : shards_) {
-    if (!shard.is_leader) continue;
-    for (const auto& [name, m] : shard.assignments.machines) {
+    if (!shard.leadership.is_leader) continue;
+    for (const auto& [name, m] : shard.replica.assignments.machines) {
       auto info = machines_.find(name);
       if (info == machines_.end() || info->second.first_heard == 0) continue;
       auto& [all, silent] = machines[m.zone];
@@ -47,7 +47,7 @@
 // Finds machines that are lost, idle or about to be taken.
 void Core::JudgeMachines(Micros now, int shard_id) {
   const SilenceOfShard silence = JudgeSilence(now, shard_id);
-  for (const auto& [name, machine] : ShardAt(shard_id).assignments.machines) {
+  for (const auto& [name, machine] : ShardAt(shard_id).replica.assignments.machines) {
     MachineInfo& info = machines_[name];
     if (info.since == 0) info.since = now;
     if (!info.give_up && !machine.leaving && IsLost(now, machine, info, silence)) {
@@ -68,23 +68,24 @@
 Core::SilenceOfShard Core::JudgeSilence(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
   int total = 0, silent = 0;
-  for (const auto& [name, machine] : shard.assignments.machines) {
+  for (const auto& [name, machine] : shard.replica.assignments.machines) {
     const MachineInfo& info = machines_[name];
     if (info.first_heard == 0 || info.missing || info.failed) continue;
     ++total;
     if (SilentFor(now, info) > 3 * settings_.report) ++silent;
   }
   some_silent_ = some_silent_ || silent > 0;
-  shard.silent = silent;
+  shard.leadership.silent = silent;
   // When most fall silent at once, it is rather we who cannot hear, all the more when
   // none is heard.
   const bool hears_few = total >= 3 && silent * 10 > total * 6;
-  if (hears_few) shard.heard_few_at = now;
+  if (hears_few) shard.leadership.heard_few_at = now;
   SilenceOfShard silence;
   silence.hears_nobody = hears_few && silent * 20 > total * 19;
   // When the first machines are heard again, the others are on their way: a leader that had
   // lost all its workers for 11 s gave up those that were not among the first 40% to be back.
-  silence.heard_few_lately = shard.heard_few_at != 0 && now - shard.heard_few_at < settings_.lease;
+  silence.heard_few_lately =
+      shard.leadership.heard_few_at != 0 && now - shard.leadership.heard_few_at < settings_.lease;
   silence.zones_cut_off = ZonesCutOff(now);
   return silence;
 }
@@ -132,7 +133,7 @@
   const char* reason = info->failed    ? ": failed"
                        : info->missing ? ": no longer listed"
                                        : ": silent";
-  Log(LogLine::Level::kInfo, "giving up " + machine.name + reason);
+  effects_.Log(LogLine::Level::kInfo, "giving up " + machine.name + reason);
   MarkDirty(shard_id);
 }
 
--- a/src/core/worker_state.cc
+++ b/src/core/agents/worker_state.cc
@@ -78,9 +78,10 @@
   }
   if (task.state == TaskState::kRunning && known->running_at == 0) {
     known->running_at = now;
-    Log(LogLine::Level::kDebug, "running " + attempt.job + "/" + std::to_string(attempt.task) +
-                                    " on " + machine.name + " after " +
-                                    std::to_string((now - known->placed_at) / kMilli) + " ms");
+    effects_.Log(LogLine::Level::kDebug,
+                 "running " + attempt.job + "/" + std::to_string(attempt.task) + " on " +
+                     machine.name + " after " + std::to_string((now - known->placed_at) / kMilli) +
+                     " ms");
   }
   known->state = task.state;
   const JobEntry* job = FindJob(attempt.job);
@@ -109,7 +110,7 @@
   if (known->gone) return;
   known->gone = true;
   ++counters_.gone;
-  ShardAt(shard_id).cleanup = true;
+  ShardAt(shard_id).cycle.cleanup = true;
   MarkDirty(shard_id);
   auto found = runs_.find(attempt.job);
   if (found == runs_.end()) return;
@@ -148,7 +149,8 @@
     case ExitReason::kError:
     case ExitReason::kUnknown:
       if (!JobOver(attempt.job)) health_.Failed(now, machine.name, attempt.job);
-      Log(LogLine::Level::kDebug,
+      effects_.Log(
+          LogLine::Level::kDebug,
           "failed: " + attempt.job + "/" + std::to_string(attempt.task) + " on " + machine.name);
       break;
     case ExitReason::kNoRoom: info.avoid_until = now + 3 * kSecond; break;
@@ -173,7 +175,7 @@
   run.tasks[task] = kDone;
   ++run.done;
   if (running_at != 0) run.durations.push_back(now - running_at);
-  ShardAt(shard_id).progress_dirty = true;
+  ShardAt(shard_id).cycle.progress_dirty = true;
 }
 
 void Core::NoteImageUse(MachineInfo* info, const std::string& type_name, const std::string& image,
--- a/src/core/forwarding.cc
+++ b/src/core/api/forwarding.cc
@@ -78,8 +78,8 @@
   open->forward = next_foreign_++;
   open->forwarded_at = now;
   forwards_[open->forward] = open->request.id;
-  out_.peers.push_back({to, mesh::Forward{open->forward, open->request.method, open->request.target,
-                                          open->request.body}});
+  effects_.SendToPeer({to, mesh::Forward{open->forward, open->request.method, open->request.target,
+                                         open->request.body}});
   return true;
 }
 
--- a/src/core/queries.cc
+++ b/src/core/api/queries.cc
@@ -59,10 +59,11 @@
   StateTxn txn;
   for (const auto& [id, version] : versions) txn.conditions.push_back({JobKey(id), version});
   query_busy_ = true;
-  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
-       [this, batch](Micros answered, int status, const std::string& body) {
-         OnQueriesChecked(answered, batch, status, body);
-       });
+  effects_.Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn),
+                kUserCallTimeout,
+                [this, batch](Micros answered, int status, const std::string& body) {
+                  OnQueriesChecked(answered, batch, status, body);
+                });
 }
 
 void Core::OnQueriesChecked(Micros now, const std::vector<Query>& batch, int status,
@@ -100,18 +101,19 @@
                    std::function<void(Micros now, bool read)> then) {
   // One key is a list that begins just before it; ids differ in their digits,
   // so the prefix may hold longer ones too.
-  Send(Dest::kState, "", "GET", wire::ListTarget(JobKey(id), "", 1), "", kUserCallTimeout,
-       [this, then = std::move(then)](Micros answered, int status, const std::string& body) {
-         std::optional<wire::StatePage> page;
-         if (status == 200) page = wire::DecodeList(body);
-         if (page) {
-           state_ok_ = answered;
-           for (const StateItem& item : page->items) {
-             ApplyPut(answered, item.key, item.value, item.version);
-           }
-         }
-         then(answered, page.has_value());
-       });
+  effects_.Send(
+      Dest::kState, "", "GET", wire::ListTarget(JobKey(id), "", 1), "", kUserCallTimeout,
+      [this, then = std::move(then)](Micros answered, int status, const std::string& body) {
+        std::optional<wire::StatePage> page;
+        if (status == 200) page = wire::DecodeList(body);
+        if (page) {
+          state_ok_ = answered;
+          for (const StateItem& item : page->items) {
+            ApplyPut(answered, item.key, item.value, item.version);
+          }
+        }
+        then(answered, page.has_value());
+      });
 }
 
 JobStatus Core::StatusOfOpen(const std::string& id, const JobEntry& entry) const {
@@ -124,10 +126,11 @@
     out.running = run->second.placed;
   } else if (record.shard_id >= 0 && record.shard_id < settings_.shard_count()) {
     const Shard& shard = ShardAt(record.shard_id);
-    auto progress = shard.progress.find(id);
-    if (progress != shard.progress.end()) out.done = static_cast<int64_t>(progress->second.size());
-    auto placed = shard.use.jobs.find(id);
-    if (placed != shard.use.jobs.end()) out.running = placed->second;
+    auto progress = shard.replica.progress.find(id);
+    if (progress != shard.replica.progress.end())
+      out.done = static_cast<int64_t>(progress->second.size());
+    auto placed = shard.replica.use.jobs.find(id);
+    if (placed != shard.replica.use.jobs.end()) out.running = placed->second;
   }
   out.state = out.running > 0 ? JobPhase::kRunning : JobPhase::kQueued;
   return out;
@@ -211,10 +214,11 @@
   txn.conditions.push_back({JobKey(query.id), entry->version});
   txn.writes.push_back({JobKey(query.id), EncodeJob(record), 0, false});
   ++counters_.puts;
-  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
-       [this, query, write = txn.writes[0]](Micros answered, int status, const std::string& body) {
-         OnCancelCommitted(answered, query, write, status, body);
-       });
+  effects_.Send(
+      Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
+      [this, query, write = txn.writes[0]](Micros answered, int status, const std::string& body) {
+        OnCancelCommitted(answered, query, write, status, body);
+      });
 }
 
 void Core::OnCancelCommitted(Micros now, const Query& query, const StateWrite& write, int status,
--- a/src/core/shard_choice.cc
+++ b/src/core/api/shard_choice.cc
@@ -16,10 +16,11 @@
   auto run = runs_.find(id);
   if (run != runs_.end()) return waiting - (run->second.done + run->second.placed);
   const Shard& shard = ShardAt(record.shard_id);
-  auto progress = shard.progress.find(id);
-  if (progress != shard.progress.end()) waiting -= static_cast<int64_t>(progress->second.size());
-  auto placed = shard.use.jobs.find(id);
-  if (placed != shard.use.jobs.end()) waiting -= placed->second;
+  auto progress = shard.replica.progress.find(id);
+  if (progress != shard.replica.progress.end())
+    waiting -= static_cast<int64_t>(progress->second.size());
+  auto placed = shard.replica.use.jobs.find(id);
+  if (placed != shard.replica.use.jobs.end()) waiting -= placed->second;
   return waiting;
 }
 
@@ -52,7 +53,7 @@
     Room& room = rooms[shard_id];
     room.waiting = static_cast<double>(waits[shard_id][static_cast<size_t>(spec.priority)]);
     JobSpread spread, ready_spread;
-    for (const MachineUse& use : shard.machine_use) {
+    for (const MachineUse& use : shard.replica.machine_use) {
       AddRoom(spec, use, &room, &spread, &ready_spread);
     }
     room.now_free = room.free - room.waiting;
@@ -61,8 +62,8 @@
           static_cast<int>(std::clamp(room.now_free / static_cast<double>(spec.each.cpus), 0.0,
                                       static_cast<double>(room.placeable)));
     }
-    auto peer = peers_.find(shard.leadership.leader);
-    room.owned = shard.leadership_version != 0 &&
+    auto peer = peers_.find(shard.replica.leadership_record.leader);
+    room.owned = shard.replica.leadership_version != 0 &&
                  (peer == peers_.end() || now_ - peer->second.heard < kLeaderAlive);
   }
   return rooms;
--- a/src/core/submissions.cc
+++ b/src/core/api/submissions.cc
@@ -153,28 +153,30 @@
   txn.conditions.push_back({JobKey(query.id), 0});
   txn.writes.push_back({JobKey(query.id), std::move(value), 0, false});
   ++counters_.puts;
-  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kUserCallTimeout,
-       [this, query, write = txn.writes[0], job_class = record.spec.job_class, phase,
-        waits_for = ListOf(record.spec.dependencies)](Micros answered, int status,
-                                                      const std::string& body) {
-         std::optional<wire::TxnReply> reply;
-         if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
-         if (reply) state_ok_ = answered;
-         if (status == 200 && reply) {
-           ApplyPut(answered, write.key, write.value, reply->revision);
-           ++counters_.accepted;
-           Log(LogLine::Level::kDebug, "accepted " + query.id + " " + job_class + waits_for);
-           Answer(query.request, 201, wire::EncodeJobState(query.id, phase));
-         } else if (status == 409) {
-           // Known already: by a repeat, a late copy or another node.
-           FetchJob(answered, query.id);
-           Poll(answered, query);
-         } else {
-           if (status == 429) write_budget_.Drain(answered);
-           ++counters_.refused;
-           Answer(query.request, 503, wire::EncodeError("not stored"), kRetryAfter);
-         }
-       });
+  effects_.Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn),
+                kUserCallTimeout,
+                [this, query, write = txn.writes[0], job_class = record.spec.job_class, phase,
+                 waits_for = ListOf(record.spec.dependencies)](Micros answered, int status,
+                                                               const std::string& body) {
+                  std::optional<wire::TxnReply> reply;
+                  if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
+                  if (reply) state_ok_ = answered;
+                  if (status == 200 && reply) {
+                    ApplyPut(answered, write.key, write.value, reply->revision);
+                    ++counters_.accepted;
+                    effects_.Log(LogLine::Level::kDebug,
+                                 "accepted " + query.id + " " + job_class + waits_for);
+                    Answer(query.request, 201, wire::EncodeJobState(query.id, phase));
+                  } else if (status == 409) {
+                    // Known already: by a repeat, a late copy or another node.
+                    FetchJob(answered, query.id);
+                    Poll(answered, query);
+                  } else {
+                    if (status == 429) write_budget_.Drain(answered);
+                    ++counters_.refused;
+                    Answer(query.request, 503, wire::EncodeError("not stored"), kRetryAfter);
+                  }
+                });
 }
 
 }  // namespace troutlink
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -21,6 +21,13 @@
 
 Core::Core(const Settings& settings, uint64_t boot, Micros now, Micros wall)
     : settings_(settings),
+      write_budget_(settings.state_limits.write_rps * kShareOfLimits / settings.shard_count(),
+                    settings.next_state_limits.write_rps * kWriteBurst),
+      state_budget_(settings.state_rps * kShareOfLimits / settings.shard_count(),
+                    settings.state_rps * 0.3),
+      cloud_budget_(settings.cloud_rps * kShareOfLimits / settings.shard_count(),
+                    std::max(1.0, settings.cloud_rps * 2 / settings.shard_count())),
+      effects_(&state_budget_),
       boot_(boot),
       started_(now),
       wall_offset_(wall - now),
@@ -28,13 +35,7 @@
       session_lease_(FromSeconds(settings.op.claim_life_s())),
       cancellations_(settings.cancel, settings.lease),
       health_(static_cast<int>(settings.op.machine_failures()),
-              static_cast<int>(settings.op.job_failures())),
-      write_budget_(settings.state_limits.write_rps * kShareOfLimits / settings.shard_count(),
-                    settings.next_state_limits.write_rps * kWriteBurst),
-      state_budget_(settings.state_rps * kShareOfLimits / settings.shard_count(),
-                    settings.state_rps * 0.3),
-      cloud_budget_(settings.cloud_rps * kShareOfLimits / settings.shard_count(),
-                    std::max(1.0, settings.cloud_rps * 2 / settings.shard_count())) {
+              static_cast<int>(settings.op.job_failures())) {
   // A late answer to the process before this one must not be taken for an
   // answer to us: numbers begin where no earlier process is likely to have been.
   const uint64_t base = (boot_ & 0xffffffffu) << 24;
@@ -47,28 +48,10 @@
   }
 }
 
-uint64_t Core::Send(Dest dest, std::string addr, std::string method, std::string target,
-                    std::string body, Micros timeout, Handler handler) {
-  uint64_t id = next_call_++;
-  pending_[id] = std::move(handler);
-  out_.calls.push_back(
-      {id, dest, std::move(addr), std::move(method), std::move(target), std::move(body), timeout});
-  switch (dest) {
-    case Dest::kState:
-    case Dest::kWatch:
-      ++counters_.state_calls;
-      state_budget_.Force(now_, 1);
-      break;
-    case Dest::kCloud: ++counters_.cloud_calls; break;
-    case Dest::kWorker: ++counters_.worker_calls; break;
-  }
-  return id;
-}
-
 void Core::Answer(uint64_t request, int status, std::string body, int retry_after_s) {
   auto foreign = foreign_.find(request);
   if (foreign != foreign_.end()) {
-    out_.peers.push_back(
+    effects_.SendToPeer(
         {foreign->second.first,
          mesh::ForwardReply{foreign->second.second, static_cast<uint64_t>(status),
                             static_cast<uint64_t>(retry_after_s), std::move(body)}});
@@ -92,16 +75,9 @@
     }
     open_.erase(open);
   }
-  out_.replies.push_back({request, status, std::move(body), retry_after_s});
+  effects_.SendReply({request, status, std::move(body), retry_after_s});
 }
 
-void Core::Log(LogLine::Level level, std::string text) {
-  if (level == LogLine::Level::kDebug && !log_details_) return;
-  out_.log.push_back({level, std::move(text)});
-}
-
-Outbox Core::Flush() { return std::exchange(out_, Outbox()); }
-
 const Core::JobEntry* Core::FindJob(const std::string& id) const {
   auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
@@ -154,23 +130,17 @@
     Answer(request.id, 404, wire::EncodeError("no such path"));
   }
   After(now);
-  return Flush();
+  return effects_.TakeOutbox();
 }
 
 Outbox Core::HandleAnswer(Micros now, uint64_t call, int status, const std::string& body) {
-  auto it = pending_.find(call);
-  if (it != pending_.end()) {
-    Handler handler = std::move(it->second);
-    pending_.erase(it);
-    if (status == 429) ++counters_.busy_answers;
-    handler(now, status, body);
-  }
+  effects_.HandleAnswer(now, call, status, body);
   After(now);
-  return Flush();
+  return effects_.TakeOutbox();
 }
 
 Outbox Core::HandlePeer(Micros now, const std::string& from, const mesh::Message& message) {
-  if (peers_.count(from) == 0) return Flush();
+  if (peers_.count(from) == 0) return effects_.TakeOutbox();
   if (const auto* ping = std::get_if<mesh::Ping>(&message)) {
     HandlePing(now, from, *ping);
   } else if (const auto* pong = std::get_if<mesh::Pong>(&message)) {
@@ -186,14 +156,14 @@
     HandleForwardReply(now, *forward_reply);
   }
   After(now);
-  return Flush();
+  return effects_.TakeOutbox();
 }
 
 // The limits of the state service and the cloud are shared by shards: who works for a
 // node that is away also has its share.
 void Core::ShareLimits(Micros now) {
   const auto owned = std::count_if(shards_.begin(), shards_.end(),
-                                   [](const Shard& shard) { return shard.is_leader; });
+                                   [](const Shard& shard) { return shard.leadership.is_leader; });
   const double share = kShareOfLimits * static_cast<double>(std::max<std::ptrdiff_t>(1, owned)) /
                        settings_.shard_count();
   write_budget_.SetRate(now, Limits().write_rps * share);
@@ -205,7 +175,8 @@
   wall_offset_ = wall - now;
   if (StoodStill(now)) {
     // We stood still: that nothing was heard meanwhile says nothing of the machines.
-    Log(LogLine::Level::kInfo, "stood still for " + std::to_string((now - now_) / kMilli) + " ms");
+    effects_.Log(LogLine::Level::kInfo,
+                 "stood still for " + std::to_string((now - now_) / kMilli) + " ms");
     for (auto& [name, info] : machines_) {
       if (info.since != 0) info.since = now;
     }
@@ -225,9 +196,10 @@
   RunCloud(now);
   EndStaleRelays(now);
   now_ = now;
+  effects_.set_last_tick(now);
   RunForwards(now);
   After(now);
-  return Flush();
+  return effects_.TakeOutbox();
 }
 
 std::string Core::MetricsText(Micros now) const {
@@ -253,10 +225,10 @@
   put("commit_conflicts_total", c.commit_conflicts);
   put("commit_unknown_total", c.commit_unknown);
   put("state_puts_total", c.puts);
-  put("state_calls_total", c.state_calls);
-  put("busy_answers_total", c.busy_answers);
-  put("cloud_calls_total", c.cloud_calls);
-  put("worker_calls_total", c.worker_calls);
+  put("state_calls_total", effects_.call_counts().state);
+  put("busy_answers_total", effects_.call_counts().rate_limited);
+  put("cloud_calls_total", effects_.call_counts().cloud);
+  put("worker_calls_total", effects_.call_counts().agent);
   put("worker_unknown_total", c.worker_unknown);
   put("starts_total", c.starts);
   put("stops_total", c.stops);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -15,17 +15,19 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "core/budget.h"
-#include "core/cancellations.h"
-#include "core/dependencies.h"
-#include "core/health.h"
-#include "core/io.h"
-#include "core/offer_health.h"
-#include "core/permits.h"
-#include "core/placement.h"
-#include "core/records.h"
-#include "core/replica_feed.h"
-#include "core/session_lease.h"
+#include "core/agents/health.h"
+#include "core/fleet/offer_health.h"
+#include "core/io/effects.h"
+#include "core/io/fair_turns.h"
+#include "core/io/io.h"
+#include "core/io/token_bucket.h"
+#include "core/leadership/cancellations.h"
+#include "core/leadership/permits.h"
+#include "core/leadership/session_lease.h"
+#include "core/scheduler/placement.h"
+#include "core/store/dependencies.h"
+#include "core/store/records.h"
+#include "core/store/replica_feed.h"
 #include "wire/messages.h"
 
 namespace troutlink {
@@ -39,8 +41,7 @@
   uint64_t kept_from_forwarding = 0;
   uint64_t rounds = 0, oversized = 0;
   uint64_t commits = 0, commit_conflicts = 0, commit_unknown = 0, puts = 0;
-  uint64_t busy_answers = 0;  // 429s
-  uint64_t state_calls = 0, cloud_calls = 0, worker_calls = 0, worker_unknown = 0;
+  uint64_t worker_unknown = 0;
   uint64_t starts = 0, stops = 0, gone = 0, acquired_machines = 0, share_moves = 0, job_moves = 0,
            consolidated = 0;
   uint64_t rented_machines = 0, refused_rentals = 0, returned = 0, adopted = 0;
@@ -63,17 +64,20 @@
   Outbox Tick(Micros now, Micros wall);
 
   const Counters& counters() const { return counters_; }
+  const Effects::CallCounts& call_counts() const { return effects_.call_counts(); }
   // For operators and tests.
-  bool IsLeader(int shard_id) const { return shards_[static_cast<size_t>(shard_id)].is_leader; }
+  bool IsLeader(int shard_id) const {
+    return shards_[static_cast<size_t>(shard_id)].leadership.is_leader;
+  }
   bool Synced() const { return feed_.synced(); }
   const AssignmentTable& AssignmentsOf(int shard_id) const {
-    return shards_[static_cast<size_t>(shard_id)].assignments;
+    return shards_[static_cast<size_t>(shard_id)].replica.assignments;
   }
   std::string MetricsText(Micros now) const;
   // Actions that must never have come up for decision, and were not carried out.
   const Tally<Violation, kViolations>& violations() const { return violations_; }
   // Whether single permits are logged, at level debug.
-  void SetDetailedLog(bool detailed) { log_details_ = detailed; }
+  void SetDetailedLog(bool detailed) { effects_.set_logs_debug(detailed); }
 
  private:
   struct AttemptInfo;
@@ -122,9 +126,10 @@
     MachineInfo* info = nullptr;
     std::vector<Slot> slots;
   };
-  struct Shard {
+  // What the replica holds of one shard.
+  struct ShardReplica {
     uint64_t leadership_version = 0;  // 0: nobody holds it
-    Leadership leadership;
+    Leadership leadership_record;
     std::map<int, Chunk> chunks;  // of the table's form
     // Of a table in the compact form: what is left of the original one, which does not change
     // any more.
@@ -140,7 +145,10 @@
     std::map<int, uint64_t> progress_versions;   // by page
     std::map<int, std::string> progress_values;  // as stored
     Progress progress;                           // of open jobs, of all pages
-    // Leadership.
+    Micros changed_at = 0;                       // last change of the assignment table
+  };
+  // Who leads one shard, as far as this node knows.
+  struct ShardLeadership {
     bool is_leader = false;
     uint64_t epoch = 0;        // kept after a loss, to go on answering reports
     uint64_t rival_epoch = 0;  // highest epoch of another node that we know of
@@ -154,7 +162,9 @@
     int election_conflicts = 0;  // in a row
     bool acquiring = false;
     bool releasing = false;
-    // Rounds.
+  };
+  // The scheduling cycles of one shard that this node leads.
+  struct CycleState {
     bool committing = false;
     bool dirty = false;    // something to decide
     bool cleanup = false;  // only removals: may wait
@@ -168,7 +178,6 @@
     Micros explained_at = 0;   // last log of why something critical waits
     Micros calm_since = 0;     // nothing has waited since
     Micros consolidate_at = 0;
-    Micros changed_at = 0;  // last change of the assignment table
     Micros progress_at = 0;
     bool progress_dirty = false;
     bool maintained = false;         // the last turn was of the table's form
@@ -182,6 +191,11 @@
     double array_peak = 0;      // the same, faded
     Micros peak_at = 0;
   };
+  struct Shard {
+    ShardReplica replica;
+    ShardLeadership leadership;
+    CycleState cycle;
+  };
 
   // Reads everything, page by page, and then begins to watch.
   void StartList(Micros now);
@@ -572,7 +586,7 @@
   void AnswerRenewal(const RenewalPermit& permit, const ReportSource& source, const Report& report,
                      uint64_t token, std::vector<Command> orders);
 
-  void MarkDirty(int shard_id) { shards_[static_cast<size_t>(shard_id)].dirty = true; }
+  void MarkDirty(int shard_id) { shards_[static_cast<size_t>(shard_id)].cycle.dirty = true; }
   void NoteImageUse(MachineInfo* info, const std::string& type, const std::string& image, double gb,
                     Micros now);
 
@@ -787,29 +801,26 @@
   static std::string OfferKey(const std::string& type, const std::string& zone, bool spot);
 
   // --- plumbing (core.cc) --------------------------------------------------------------
-  using Handler = std::function<void(Micros now, int status, const std::string& body)>;
-  uint64_t Send(Dest dest, std::string addr, std::string method, std::string target,
-                std::string body, Micros timeout, Handler handler);
   void Answer(uint64_t request, int status, std::string body, int retry_after_s = 0);
-  void Log(LogLine::Level level, std::string text);
   void ShareLimits(Micros now);
-  Outbox Flush();
   void After(Micros now);
   const JobEntry* FindJob(const std::string& id) const;
   const Team* FindTeam(const std::string& name) const;
   Micros WallNow(Micros now) const { return now + wall_offset_; }
 
   const Settings settings_;
+  // What the node may ask of the state service and of the cloud.
+  FairTurns write_turns_;  // of the shards that are ours
+  TokenBucket write_budget_;
+  TokenBucket state_budget_;
+  TokenBucket cloud_budget_;
+  Effects effects_;
   const uint64_t boot_;
   const Micros started_;
   Micros wall_offset_ = 0;
-  Outbox out_;
   Counters counters_;
   Tally<Refusal, kRefusals> refusals_;
   Tally<Violation, kViolations> violations_;
-  bool log_details_ = true;
-  uint64_t next_call_ = 1;
-  std::unordered_map<uint64_t, Handler> pending_;
 
   // Replica.
   ReplicaFeed feed_;
@@ -907,11 +918,6 @@
   std::map<std::string, Micros> free_since_;  // others' machines, for taking
   Micros next_judge_ = 0;
   bool some_silent_ = false;
-
-  Turns write_turns_;  // of the shards that are ours
-  Budget write_budget_;
-  Budget state_budget_;
-  Budget cloud_budget_;
 };
 
 }  // namespace troutlink
--- a/src/core/cloud.cc
+++ b/src/core/fleet/cloud.cc
@@ -3,7 +3,7 @@
 
 #include "base/ids.h"
 #include "core/core.h"
-#include "core/plan.h"
+#include "core/scheduler/plan.h"
 
 namespace troutlink {
 
@@ -73,7 +73,7 @@
   // A list may show what was given back long ago. At the very first start, when
   // no shard has rented anything yet, it can be trusted at once.
   const bool first_start = std::all_of(shards_.begin(), shards_.end(), [](const Shard& shard) {
-    return shard.assignments.next_number == 1;
+    return shard.replica.assignments.next_number == 1;
   });
   for (const ListedMachine& listed : listed_) {
     if (adopted >= kMaxAdopted) return;
@@ -111,7 +111,8 @@
 // Whether the machine may be of a rental whose answer is still to come.
 bool Core::MayBeRented(int shard_id, const AssignedMachine& machine, const Plan& plan) const {
   for (int id = 0; id < settings_.shard_count(); ++id) {
-    const AssignmentTable& table = id == shard_id ? plan.assignments : ShardAt(id).assignments;
+    const AssignmentTable& table =
+        id == shard_id ? plan.assignments : ShardAt(id).replica.assignments;
     for (const auto& [request, rental] : table.rentals) {
       const RentRequest& ask = rental.ask;
       if (ask.type == machine.type && ask.zone == machine.zone && ask.spot == machine.spot) {
@@ -124,53 +125,53 @@
 
 void Core::SendRental(Micros now, int shard_id, const std::string& request) {
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  auto rental = shard.assignments.rentals.find(request);
-  if (!shard.is_leader || rental == shard.assignments.rentals.end()) return;
+  auto rental = shard.replica.assignments.rentals.find(request);
+  if (!shard.leadership.is_leader || rental == shard.replica.assignments.rentals.end()) return;
   RentalState& state = rental_states_[request];
   if (state.sent || state.done || now < state.retry_at) return;
   if (!cloud_budget_.Take(now, 1)) return;
   state.sent = true;
   const RentRequest ask = rental->second.ask;
-  Send(Dest::kCloud, "", "POST", wire::RentTarget(), wire::EncodeRent(ask), kCloudTimeout,
-       [this, shard_id, request, ask](Micros t, int status, const std::string& body) {
-         RentalState& h = rental_states_[request];
-         h.sent = false;
-         std::optional<std::vector<std::string>> rented;
-         if (status == 200) rented = wire::DecodeRented(body);
-         std::string key = OfferKey(ask.type, ask.zone, ask.spot);
-         if (rented) {
-           h.done = true;
-           h.machines = *rented;
-           counters_.rented_machines += rented->size();
-           // Filled in part: there are no more at the moment.
-           if (static_cast<int>(rented->size()) < ask.count) {
-             Pause& pause = offer_pause_[key];
-             pause = {t + FromSeconds(settings_.op.refusal_pause_s()), 1};
-           } else {
-             offer_pause_.erase(key);
-           }
-         } else if (status == 400 ||
-                    (status == 503 && body.find("no capacity") != std::string::npos)) {
-           h.done = true;
-           ++counters_.refused_rentals;
-           // Every request costs writes and calls: ask less and less often.
-           Pause& pause = offer_pause_[key];
-           pause.until =
-               t + (FromSeconds(settings_.op.refusal_pause_s()) << std::min(pause.refusals, 2));
-           ++pause.refusals;
-         } else {
-           // May have been carried out: only a repeat of the same request tells.
-           h.retry_at = t + 1500 * kMilli;
-         }
-         MarkDirty(shard_id);
-       });
+  effects_.Send(Dest::kCloud, "", "POST", wire::RentTarget(), wire::EncodeRent(ask), kCloudTimeout,
+                [this, shard_id, request, ask](Micros t, int status, const std::string& body) {
+                  RentalState& h = rental_states_[request];
+                  h.sent = false;
+                  std::optional<std::vector<std::string>> rented;
+                  if (status == 200) rented = wire::DecodeRented(body);
+                  std::string key = OfferKey(ask.type, ask.zone, ask.spot);
+                  if (rented) {
+                    h.done = true;
+                    h.machines = *rented;
+                    counters_.rented_machines += rented->size();
+                    // Filled in part: there are no more at the moment.
+                    if (static_cast<int>(rented->size()) < ask.count) {
+                      Pause& pause = offer_pause_[key];
+                      pause = {t + FromSeconds(settings_.op.refusal_pause_s()), 1};
+                    } else {
+                      offer_pause_.erase(key);
+                    }
+                  } else if (status == 400 ||
+                             (status == 503 && body.find("no capacity") != std::string::npos)) {
+                    h.done = true;
+                    ++counters_.refused_rentals;
+                    // Every request costs writes and calls: ask less and less often.
+                    Pause& pause = offer_pause_[key];
+                    pause.until = t + (FromSeconds(settings_.op.refusal_pause_s())
+                                       << std::min(pause.refusals, 2));
+                    ++pause.refusals;
+                  } else {
+                    // May have been carried out: only a repeat of the same request tells.
+                    h.retry_at = t + 1500 * kMilli;
+                  }
+                  MarkDirty(shard_id);
+                });
 }
 
 void Core::SendReturns(Micros now, int shard_id) {
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  if (!shard.is_leader || !shard.any_leaving) return;
+  if (!shard.leadership.is_leader || !shard.replica.any_leaving) return;
   std::vector<std::string> names;
-  for (const auto& [name, m] : shard.assignments.machines) {
+  for (const auto& [name, m] : shard.replica.assignments.machines) {
     MachineInfo& info = machines_[name];
     if (!m.leaving || info.returning || returned_.count(name) != 0 || now < info.return_at)
       continue;
@@ -179,37 +180,39 @@
   }
   if (names.empty() || !cloud_budget_.Take(now, 1)) return;
   for (const std::string& name : names) machines_[name].returning = true;
-  Send(Dest::kCloud, "", "POST", wire::ReturnTarget(), wire::EncodeReturn(names), kCloudTimeout,
-       [this, shard_id, names](Micros t, int status, const std::string&) {
-         Shard& shard = shards_[static_cast<size_t>(shard_id)];
-         for (const std::string& name : names) {
-           MachineInfo& info = machines_[name];
-           info.returning = false;
-           info.return_at = t + kSecond;
-           auto m = shard.assignments.machines.find(name);
-           if (status != 200 || m == shard.assignments.machines.end() || !shard.is_leader) continue;
-           // Confirmed: the machine and everything on it is gone.
-           ++counters_.returned;
-           returned_.insert(name);
-           health_.ForgetMachine(name);
-           for (const Attempt& a : m->second.attempts) {
-             auto at = attempts_.find(a);
-             if (at != attempts_.end()) MarkGone(shard_id, a, &at->second);
-           }
-         }
-         MarkDirty(shard_id);
-       });
+  effects_.Send(Dest::kCloud, "", "POST", wire::ReturnTarget(), wire::EncodeReturn(names),
+                kCloudTimeout, [this, shard_id, names](Micros t, int status, const std::string&) {
+                  Shard& shard = shards_[static_cast<size_t>(shard_id)];
+                  for (const std::string& name : names) {
+                    MachineInfo& info = machines_[name];
+                    info.returning = false;
+                    info.return_at = t + kSecond;
+                    auto m = shard.replica.assignments.machines.find(name);
+                    if (status != 200 || m == shard.replica.assignments.machines.end() ||
+                        !shard.leadership.is_leader)
+                      continue;
+                    // Confirmed: the machine and everything on it is gone.
+                    ++counters_.returned;
+                    returned_.insert(name);
+                    health_.ForgetMachine(name);
+                    for (const Attempt& a : m->second.attempts) {
+                      auto at = attempts_.find(a);
+                      if (at != attempts_.end()) MarkGone(shard_id, a, &at->second);
+                    }
+                  }
+                  MarkDirty(shard_id);
+                });
 }
 
 void Core::AskTypes(Micros now) {
   if (types_busy_ || now < next_types_ || !cloud_budget_.Take(now, 1)) return;
   types_busy_ = true;
-  Send(Dest::kCloud, "", "GET", wire::MachineTypesTarget(), "", kCloudTimeout,
-       [this](Micros t, int status, const std::string& body) {
-         types_busy_ = false;
-         next_types_ = t + (status == 200 ? kTypesPeriod : 2 * kSecond);
-         if (status == 200) StoreTypes(t, body);
-       });
+  effects_.Send(Dest::kCloud, "", "GET", wire::MachineTypesTarget(), "", kCloudTimeout,
+                [this](Micros t, int status, const std::string& body) {
+                  types_busy_ = false;
+                  next_types_ = t + (status == 200 ? kTypesPeriod : 2 * kSecond);
+                  if (status == 200) StoreTypes(t, body);
+                });
 }
 
 void Core::StoreTypes(Micros now, const std::string& body) {
@@ -222,10 +225,10 @@
   StateTxn txn;
   txn.writes.push_back({std::string(kRoot) + "types", body, 0, false});
   ++counters_.puts;
-  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kCloudTimeout,
-       [this](Micros, int status, const std::string&) {
-         if (status != 200) types_stored_.clear();
-       });
+  effects_.Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kCloudTimeout,
+                [this](Micros, int status, const std::string&) {
+                  if (status != 200) types_stored_.clear();
+                });
 }
 
 void Core::AskMachines(Micros now, const std::string& after) {
@@ -235,36 +238,37 @@
     list_pages_ = 0;
   }
   list_after_.clear();
-  Send(Dest::kCloud, "", "GET", wire::MachinesTarget(after, kPageLimit), "", kCloudTimeout,
-       [this](Micros t, int status, const std::string& body) {
-         std::optional<wire::MachinePage> page;
-         if (status == 200) page = wire::DecodeMachines(body);
-         if (!page) {
-           list_busy_ = false;
-           listed_.clear();
-           next_machines_ = t + 3 * kSecond;
-           return;  // the next list begins anew
-         }
-         listed_.insert(listed_.end(), page->machines.begin(), page->machines.end());
-         ++list_pages_;
-         if (page->more && !page->machines.empty()) {
-           // Goes on as soon as there is a call for it: a list that was dropped for
-           // want of one never showed more than the first pages of a large fleet.
-           list_after_ = page->machines.back().name;
-           return;
-         }
-         list_busy_ = false;
-         list_after_.clear();
-         // Half of our calls are left to rentals and returns.
-         const auto paced = static_cast<Micros>(2.0 * list_pages_ * settings_.shard_count() /
-                                                settings_.cloud_rps * static_cast<double>(kSecond));
-         next_machines_ =
-             machines_asked_ +
-             std::max(paced, some_silent_
-                                 ? 1500 * kMilli
-                                 : std::max<Micros>(2 * kSecond, settings_.list_lag / 2 + kSecond));
-         ProcessMachineList(t);
-       });
+  effects_.Send(
+      Dest::kCloud, "", "GET", wire::MachinesTarget(after, kPageLimit), "", kCloudTimeout,
+      [this](Micros t, int status, const std::string& body) {
+        std::optional<wire::MachinePage> page;
+        if (status == 200) page = wire::DecodeMachines(body);
+        if (!page) {
+          list_busy_ = false;
+          listed_.clear();
+          next_machines_ = t + 3 * kSecond;
+          return;  // the next list begins anew
+        }
+        listed_.insert(listed_.end(), page->machines.begin(), page->machines.end());
+        ++list_pages_;
+        if (page->more && !page->machines.empty()) {
+          // Goes on as soon as there is a call for it: a list that was dropped for
+          // want of one never showed more than the first pages of a large fleet.
+          list_after_ = page->machines.back().name;
+          return;
+        }
+        list_busy_ = false;
+        list_after_.clear();
+        // Half of our calls are left to rentals and returns.
+        const auto paced = static_cast<Micros>(2.0 * list_pages_ * settings_.shard_count() /
+                                               settings_.cloud_rps * static_cast<double>(kSecond));
+        next_machines_ =
+            machines_asked_ +
+            std::max(paced, some_silent_
+                                ? 1500 * kMilli
+                                : std::max<Micros>(2 * kSecond, settings_.list_lag / 2 + kSecond));
+        ProcessMachineList(t);
+      });
 }
 
 void Core::ProcessMachineList(Micros now) {
@@ -286,7 +290,7 @@
     if (info.addr.empty() && info.listed_running) info.addr = m.addr;
   }
   for (const Shard& shard : shards_) {
-    for (const auto& [name, m] : shard.assignments.machines) {
+    for (const auto& [name, m] : shard.replica.assignments.machines) {
       MachineInfo& info = machines_[name];
       // A list may be older than the one before it: only a machine that has
       // been up for longer than any list lags is missed.
@@ -313,9 +317,9 @@
   if (now >= next_judge_) some_silent_ = false;
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     Shard& shard = shards_[static_cast<size_t>(shard_id)];
-    if (!shard.is_leader) continue;
+    if (!shard.leadership.is_leader) continue;
     any = true;
-    for (const auto& [id, h] : shard.assignments.rentals) SendRental(now, shard_id, id);
+    for (const auto& [id, h] : shard.replica.assignments.rentals) SendRental(now, shard_id, id);
     SendReturns(now, shard_id);
     if (now >= next_judge_) JudgeMachines(now, shard_id);
   }
--- a/src/core/fleet.cc
+++ b/src/core/fleet/fleet.cc
@@ -2,8 +2,8 @@
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/plan.h"
-#include "core/rental_planner.h"
+#include "core/fleet/rental_planner.h"
+#include "core/scheduler/plan.h"
 
 namespace troutlink {
 
@@ -74,8 +74,9 @@
   rental.ask.count = std::min(count, kMaxPerRental);
   rental.helps = helps;
   plan->rentals.push_back(rental.ask.request);
-  Log(LogLine::Level::kDebug, "rent " + std::to_string(rental.ask.count) + " " + rental.ask.type +
-                                  (spot ? " spot" : " steady") + " for " + reason);
+  effects_.Log(LogLine::Level::kDebug, "rent " + std::to_string(rental.ask.count) + " " +
+                                           rental.ask.type + (spot ? " spot" : " steady") +
+                                           " for " + reason);
   plan->assignments.rentals[rental.ask.request] = rental;
   plan->urgent = true;
 }
@@ -84,9 +85,9 @@
 // to lack then is not rented before most of them did, or had the time to.
 bool Core::KnowsItsMachines(Micros now, int shard_id) const {
   const Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  if (now - shard.elected_at > 2 * settings_.report + 2 * kSecond) return true;
+  if (now - shard.leadership.elected_at > 2 * settings_.report + 2 * kSecond) return true;
   size_t up = 0, unknown = 0;
-  for (const MachineUse& use : shard.machine_use) {
+  for (const MachineUse& use : shard.replica.machine_use) {
     if (use.machine->addr.empty()) continue;
     ++up;
     if (use.info == nullptr || use.info->session == 0) ++unknown;
--- a/src/core/offer_health.h
+++ b/src/core/fleet/offer_health.h
@@ -1,7 +1,7 @@
 // Remembers which kinds of machines lately failed to come up after they were rented, so that
 // another type, zone or kind is preferred while that lasts.
-#ifndef TROUTLINK_CORE_OFFER_HEALTH_H_
-#define TROUTLINK_CORE_OFFER_HEALTH_H_
+#ifndef TROUTLINK_CORE_FLEET_OFFER_HEALTH_H_
+#define TROUTLINK_CORE_FLEET_OFFER_HEALTH_H_
 
 #include <cmath>
 #include <map>
@@ -57,4 +57,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_OFFER_HEALTH_H_
+#endif  // TROUTLINK_CORE_FLEET_OFFER_HEALTH_H_
--- a/src/core/rental_planner.cc
+++ b/src/core/fleet/rental_planner.cc
@@ -1,4 +1,4 @@
-#include "core/rental_planner.h"
+#include "core/fleet/rental_planner.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/rental_planner.h
+++ b/src/core/fleet/rental_planner.h
@@ -1,13 +1,13 @@
 // Which machines to rent for what found no room in a round.
-#ifndef TROUTLINK_CORE_RENTAL_PLANNER_H_
-#define TROUTLINK_CORE_RENTAL_PLANNER_H_
+#ifndef TROUTLINK_CORE_FLEET_RENTAL_PLANNER_H_
+#define TROUTLINK_CORE_FLEET_RENTAL_PLANNER_H_
 
 #include <map>
 #include <string>
 #include <vector>
 
 #include "core/core.h"
-#include "core/plan.h"
+#include "core/scheduler/plan.h"
 
 namespace troutlink {
 
@@ -71,4 +71,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_RENTAL_PLANNER_H_
+#endif  // TROUTLINK_CORE_FLEET_RENTAL_PLANNER_H_
--- a/src/core/returns.cc
+++ b/src/core/fleet/returns.cc
@@ -3,7 +3,7 @@
 #include <optional>
 
 #include "core/core.h"
-#include "core/plan.h"
+#include "core/scheduler/plan.h"
 
 namespace troutlink {
 
@@ -61,8 +61,8 @@
     if (!machine.usable || !machine.helps.empty()) continue;
     (machine.spot ? room.spot : room.steady) += FreeCpus(machine);
   }
-  room.kept_for_arrays =
-      static_cast<int64_t>(settings_.op.array_headroom_share() * ShardAt(shard_id).array_peak);
+  room.kept_for_arrays = static_cast<int64_t>(settings_.op.array_headroom_share() *
+                                              ShardAt(shard_id).cycle.array_peak);
   std::map<std::string, PlaceMachine*> places;
   for (PlaceMachine& machine : plan->machines) places[machine.name] = &machine;
   for (auto& [name, machine] : plan->assignments.machines) {
@@ -218,16 +218,16 @@
 // Only in a calm, and not in every round. What waits may use what is being cleared.
 bool Core::MayClear(Micros now, Shard* shard, const Plan& plan) {
   if (!plan.unplaced.empty() || !plan.assignments.rentals.empty()) {
-    shard->calm_since = now;
+    shard->cycle.calm_since = now;
     for (const auto& [name, machine] : plan.assignments.machines) machines_[name].drain = false;
     return false;
   }
-  if (shard->calm_since == 0) shard->calm_since = now;
-  if (now < shard->consolidate_at ||
-      now - shard->calm_since < FromSeconds(settings_.op.consolidate_after_s())) {
+  if (shard->cycle.calm_since == 0) shard->cycle.calm_since = now;
+  if (now < shard->cycle.consolidate_at ||
+      now - shard->cycle.calm_since < FromSeconds(settings_.op.consolidate_after_s())) {
     return false;
   }
-  shard->consolidate_at = now + kClearingPeriod;
+  shard->cycle.consolidate_at = now + kClearingPeriod;
   return true;
 }
 
--- a/src/core/event.h
+++ b/src/core/io/event.h
@@ -1,6 +1,6 @@
 // One structured line of the log: `event=NAME key=value ...`.
-#ifndef TROUTLINK_CORE_EVENT_H_
-#define TROUTLINK_CORE_EVENT_H_
+#ifndef TROUTLINK_CORE_IO_EVENT_H_
+#define TROUTLINK_CORE_IO_EVENT_H_
 
 #include <cstdint>
 #include <string>
@@ -34,4 +34,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_EVENT_H_
+#endif  // TROUTLINK_CORE_IO_EVENT_H_
--- a/src/core/io.h
+++ b/src/core/io/io.h
@@ -1,7 +1,7 @@
 // What goes into the core and what it hands back. The core does no I/O, reads
 // no clock and draws no random numbers: everything arrives as an argument.
-#ifndef TROUTLINK_CORE_IO_H_
-#define TROUTLINK_CORE_IO_H_
+#ifndef TROUTLINK_CORE_IO_IO_H_
+#define TROUTLINK_CORE_IO_IO_H_
 
 #include <cstdint>
 #include <string>
@@ -61,4 +61,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_IO_H_
+#endif  // TROUTLINK_CORE_IO_IO_H_
--- a/src/core/budget.h
+++ b/src/core/io/token_bucket.h
@@ -1,6 +1,6 @@
-// A token bucket on the steady clock.
-#ifndef TROUTLINK_CORE_BUDGET_H_
-#define TROUTLINK_CORE_BUDGET_H_
+// A token bucket on the steady clock: keeps to a rate that a service announces.
+#ifndef TROUTLINK_CORE_IO_TOKEN_BUCKET_H_
+#define TROUTLINK_CORE_IO_TOKEN_BUCKET_H_
 
 #include <algorithm>
 
@@ -8,10 +8,13 @@
 
 namespace troutlink {
 
-class Budget {
+// Fills at a rate and holds at most a burst; may go into debt. Not thread-safe.
+class TokenBucket {
  public:
-  Budget(double per_second, double burst) : rate_(per_second), burst_(burst), have_(burst) {}
+  // Tokens per second, and the most that it holds. It begins full.
+  TokenBucket(double per_second, double burst) : rate_(per_second), burst_(burst), have_(burst) {}
 
+  // Takes `n` tokens if `reserve` more would be left; false, and nothing taken, otherwise.
   bool Take(Micros now, double n = 1, double reserve = 0) {
     Refill(now);
     // More than the bucket holds is taken from a full one and worked off; else
@@ -35,7 +38,9 @@
     Refill(now);
     have_ = std::min(have_, 0.0);
   }
+  // Tokens at the last refill; negative while in debt.
   double have() const { return have_; }
+  // Another rate from now on.
   void SetRate(Micros now, double per_second) {
     if (per_second == rate_) return;
     Refill(now);
@@ -54,29 +59,6 @@
   Micros last_ = 0;
 };
 
-// Who waits for a budget goes first: of several that share one, those that take little
-// at a time would else leave nothing for one that takes much.
-class Turns {
- public:
-  bool MayTake(Micros now, int who) const {
-    return waiting_ < 0 || waiting_ == who || now - since_ >= kForget;
-  }
-  // `got`: whether there was enough.
-  void Took(Micros now, int who, bool got) {
-    if (!got) {
-      waiting_ = who;
-      since_ = now;
-    } else if (waiting_ == who) {
-      waiting_ = -1;
-    }
-  }
-
- private:
-  static constexpr Micros kForget = kSecond;  // it no longer asks
-  int waiting_ = -1;
-  Micros since_ = 0;
-};
-
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_BUDGET_H_
+#endif  // TROUTLINK_CORE_IO_TOKEN_BUCKET_H_
--- a/src/core/cancellations.cc
+++ b/src/core/leadership/cancellations.cc
@@ -1,4 +1,4 @@
-#include "core/cancellations.h"
+#include "core/leadership/cancellations.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/core/heartbeats.cc
+++ b/src/core/leadership/heartbeats.cc
@@ -28,7 +28,7 @@
     ping.cached_images = cached_images;
     ping.seq = ++ping_seq_;
     cancellations_.PingSent(label, ping.seq, now, feed_.revision());
-    out_.peers.push_back({label, std::move(ping)});
+    effects_.SendToPeer({label, std::move(ping)});
   }
 }
 
@@ -47,18 +47,19 @@
 void Core::TellEpochs(mesh::Heartbeat* heartbeat) const {
   for (size_t shard_id = 0; shard_id < shards_.size(); ++shard_id) {
     const Shard& shard = shards_[shard_id];
-    if (shard.is_leader) {
-      heartbeat->epochs.push_back({shard_id, shard.epoch, settings_.label});
-    } else if (shard.rival_epoch > shard.epoch) {
-      heartbeat->epochs.push_back({shard_id, shard.rival_epoch, shard.rival_leader});
+    if (shard.leadership.is_leader) {
+      heartbeat->epochs.push_back({shard_id, shard.leadership.epoch, settings_.label});
+    } else if (shard.leadership.rival_epoch > shard.leadership.epoch) {
+      heartbeat->epochs.push_back(
+          {shard_id, shard.leadership.rival_epoch, shard.leadership.rival_leader});
     }
   }
 }
 
 void Core::TellSilentMachines(Micros now, mesh::Heartbeat* heartbeat) const {
   for (const Shard& shard : shards_) {
-    if (!shard.is_leader) continue;
-    for (const auto& [name, machine] : shard.assignments.machines) {
+    if (!shard.leadership.is_leader) continue;
+    for (const auto& [name, machine] : shard.replica.assignments.machines) {
       if (heartbeat->silent_machines.size() >= kMaxSilentMachines) return;
       auto info = machines_.find(name);
       if (info == machines_.end() || info->second.first_heard == 0) continue;
@@ -74,11 +75,11 @@
 std::vector<mesh::CachedImages> Core::NextCachedImages() {
   std::vector<mesh::CachedImages> told;
   for (size_t shard_id = cached_images_from_.first; shard_id < shards_.size(); ++shard_id) {
-    const auto& machines = shards_[shard_id].assignments.machines;
+    const auto& machines = shards_[shard_id].replica.assignments.machines;
     auto it = shard_id == cached_images_from_.first
                   ? machines.lower_bound(cached_images_from_.second)
                   : machines.begin();
-    for (; it != machines.end() && shards_[shard_id].is_leader; ++it) {
+    for (; it != machines.end() && shards_[shard_id].leadership.is_leader; ++it) {
       if (told.size() >= kMaxCachedImages) {
         cached_images_from_ = {shard_id, it->first};
         return told;
@@ -104,8 +105,8 @@
 
 bool Core::WantsOwnShard(Micros now) const {
   const Shard& own = ShardAt(settings_.own_shard);
-  return feed_.synced() && !own.is_leader && own.leadership_version != 0 && StateFresh(now) &&
-         !StoodStill(now) &&
+  return feed_.synced() && !own.leadership.is_leader && own.replica.leadership_version != 0 &&
+         StateFresh(now) && !StoodStill(now) &&
          now - std::max(started_, unwell_at_) > FromSeconds(settings_.op.hand_back_after_s());
 }
 
@@ -114,7 +115,7 @@
   mesh::Pong pong;
   static_cast<mesh::Heartbeat&>(pong) = MakeHeartbeat(now, ping.seen);
   pong.seq = ping.seq;
-  out_.peers.push_back({from, std::move(pong)});
+  effects_.SendToPeer({from, std::move(pong)});
 }
 
 void Core::HandleHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat) {
@@ -140,10 +141,10 @@
     if (told.leader == from) peer.holds.insert(told.shard_id);
     if (told.shard_id >= shards_.size() || told.leader == settings_.label) continue;
     Shard& shard = shards_[told.shard_id];
-    if (told.revision <= shard.rival_epoch) continue;
-    shard.rival_epoch = told.revision;
-    shard.rival_leader = told.leader;
-    if (shard.is_leader && told.revision > shard.epoch) {
+    if (told.revision <= shard.leadership.rival_epoch) continue;
+    shard.leadership.rival_epoch = told.revision;
+    shard.leadership.rival_leader = told.leader;
+    if (shard.leadership.is_leader && told.revision > shard.leadership.epoch) {
       LoseLeadership(now, static_cast<int>(told.shard_id), "a peer reports another leader");
     }
   }
@@ -161,13 +162,13 @@
   // A leader whose replica lags stores that what depends on it is cancelled too.
   for (const std::string& dependent : dependencies_.DependentsOf(id)) AddOrphan(dependent);
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
-    if (ShardAt(shard_id).is_leader) MarkDirty(shard_id);
+    if (ShardAt(shard_id).leadership.is_leader) MarkDirty(shard_id);
   }
 }
 
 bool Core::LedByAnother(const std::string& machine) const {
   const int shard_id = ShardOfMachine(machine);
-  return shard_id >= 0 && !ShardAt(shard_id).is_leader;
+  return shard_id >= 0 && !ShardAt(shard_id).leadership.is_leader;
 }
 
 // Kept with the machine: who takes it over knows what it has.
--- a/src/core/leadership.cc
+++ b/src/core/leadership/leadership.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/event.h"
+#include "core/io/event.h"
 
 namespace troutlink {
 
@@ -25,42 +25,45 @@
 }
 
 void Core::GrantLease() {
-  Send(Dest::kState, "", "POST", wire::GrantTarget(), wire::EncodeGrant(session_lease_.life()),
-       kStateTimeout, [this](Micros answered, int status, const std::string& body) {
-         std::optional<uint64_t> id;
-         if (status == 200) id = wire::DecodeGrant(body);
-         if (id) state_ok_ = answered;
-         session_lease_.GrantAnswered(answered, id);
-       });
+  effects_.Send(Dest::kState, "", "POST", wire::GrantTarget(),
+                wire::EncodeGrant(session_lease_.life()), kStateTimeout,
+                [this](Micros answered, int status, const std::string& body) {
+                  std::optional<uint64_t> id;
+                  if (status == 200) id = wire::DecodeGrant(body);
+                  if (id) state_ok_ = answered;
+                  session_lease_.GrantAnswered(answered, id);
+                });
 }
 
 void Core::RenewLease() {
   const uint64_t id = session_lease_.id();
-  Send(Dest::kState, "", "POST", wire::RenewTarget(id), wire::EncodeGrant(session_lease_.life()),
-       kStateTimeout, [this, id](Micros answered, int status, const std::string&) {
-         using Renewal = SessionLease::Renewal;
-         const Renewal renewal = session_lease_.RenewAnswered(answered, id, status);
-         if (renewal == Renewal::kRenewed || renewal == Renewal::kEnded) state_ok_ = answered;
-         if (renewal == Renewal::kEnded) LoseAllLeaderships(answered, "lease ended");
-       });
+  effects_.Send(Dest::kState, "", "POST", wire::RenewTarget(id),
+                wire::EncodeGrant(session_lease_.life()), kStateTimeout,
+                [this, id](Micros answered, int status, const std::string&) {
+                  using Renewal = SessionLease::Renewal;
+                  const Renewal renewal = session_lease_.RenewAnswered(answered, id, status);
+                  if (renewal == Renewal::kRenewed || renewal == Renewal::kEnded)
+                    state_ok_ = answered;
+                  if (renewal == Renewal::kEnded) LoseAllLeaderships(answered, "lease ended");
+                });
 }
 
 void Core::RunElections(Micros now) {
   if (!session_lease_.held()) return;
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     Shard& shard = ShardAt(shard_id);
-    if (shard.acquiring) continue;
-    if (shard.is_leader) {
+    if (shard.leadership.acquiring) continue;
+    if (shard.leadership.is_leader) {
       CheckOwnLeadership(now, shard_id);
       continue;
     }
-    if (shard.leadership_version != 0) {
+    if (shard.replica.leadership_version != 0) {
       ReclaimLeadership(now, shard_id);
       continue;
     }
-    if (shard.leaderless_since == 0) shard.leaderless_since = now;
-    if (now < shard.no_election_before) continue;
-    if (now - shard.leaderless_since >= ElectionDelay(now, shard_id)) {
+    if (shard.leadership.leaderless_since == 0) shard.leadership.leaderless_since = now;
+    if (now < shard.leadership.no_election_before) continue;
+    if (now - shard.leadership.leaderless_since >= ElectionDelay(now, shard_id)) {
       AcquireLeadership(now, shard_id);
     }
   }
@@ -68,23 +71,24 @@
 
 void Core::CheckOwnLeadership(Micros now, int shard_id) {
   const Shard& shard = ShardAt(shard_id);
-  const bool ours = shard.leadership.leader == settings_.label && shard.leadership.boot == boot_;
-  if (ours && shard.leadership_version > shard.epoch) {
-    OnElected(now, shard_id, shard.leadership_version);  // the answer was lost
-  } else if (NeedsCompactForm(shard) && !shard.committing && !shard.releasing &&
-             now >= shard.no_election_before) {
+  const bool ours = shard.replica.leadership_record.leader == settings_.label &&
+                    shard.replica.leadership_record.boot == boot_;
+  if (ours && shard.replica.leadership_version > shard.leadership.epoch) {
+    OnElected(now, shard_id, shard.replica.leadership_version);  // the answer was lost
+  } else if (NeedsCompactForm(shard) && !shard.cycle.committing && !shard.leadership.releasing &&
+             now >= shard.leadership.no_election_before) {
     AcquireLeadership(now, shard_id);
   }
 }
 
 void Core::ReclaimLeadership(Micros now, int shard_id) {
   const Shard& shard = ShardAt(shard_id);
-  if (shard.leadership.leader != settings_.label) return;
-  if (shard.leadership.boot != boot_) {
+  if (shard.replica.leadership_record.leader != settings_.label) return;
+  if (shard.replica.leadership_record.boot != boot_) {
     AcquireLeadership(now, shard_id);  // held by the process before this one
-  } else if (shard.leadership_version > shard.epoch) {
+  } else if (shard.replica.leadership_version > shard.leadership.epoch) {
     // An election whose answer was lost did apply.
-    OnElected(now, shard_id, shard.leadership_version);
+    OnElected(now, shard_id, shard.replica.leadership_version);
   }
 }
 
@@ -100,27 +104,27 @@
 void Core::AcquireLeadership(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
   if (!write_budget_.Take(now, 1)) return;
-  shard.acquiring = true;
+  shard.leadership.acquiring = true;
   StateTxn txn = ElectionTxn(shard_id);
   counters_.puts += txn.writes.size();
-  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kStateTimeout,
-       [this, shard_id, txn](Micros answered, int status, const std::string& body) {
-         Shard& shard = ShardAt(shard_id);
-         shard.acquiring = false;
-         std::optional<wire::TxnReply> reply;
-         if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
-         if (reply) state_ok_ = answered;
-         if (status == 200 && reply) {
-           for (const StateWrite& write : txn.writes)
-             ApplyPut(answered, write.key, write.value, reply->revision);
-           ReindexShards(answered);
-           if (!shard.is_leader || shard.epoch < reply->revision)
-             OnElected(answered, shard_id, reply->revision);
-         } else {
-           if (status == 400) session_lease_.Drop();  // no such lease: get a new one
-           OnElectionFailed(answered, &shard, status == 409);
-         }
-       });
+  effects_.Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kStateTimeout,
+                [this, shard_id, txn](Micros answered, int status, const std::string& body) {
+                  Shard& shard = ShardAt(shard_id);
+                  shard.leadership.acquiring = false;
+                  std::optional<wire::TxnReply> reply;
+                  if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
+                  if (reply) state_ok_ = answered;
+                  if (status == 200 && reply) {
+                    for (const StateWrite& write : txn.writes)
+                      ApplyPut(answered, write.key, write.value, reply->revision);
+                    ReindexShards(answered);
+                    if (!shard.leadership.is_leader || shard.leadership.epoch < reply->revision)
+                      OnElected(answered, shard_id, reply->revision);
+                  } else {
+                    if (status == 400) session_lease_.Drop();  // no such lease: get a new one
+                    OnElectionFailed(answered, &shard, status == 409);
+                  }
+                });
 }
 
 // The assignment table must be the one that we know. A table that changes its form does so
@@ -128,14 +132,14 @@
 StateTxn Core::ElectionTxn(int shard_id) const {
   const Shard& shard = ShardAt(shard_id);
   StateTxn txn;
-  txn.conditions.push_back({LeadershipKey(shard_id), shard.leadership_version});
+  txn.conditions.push_back({LeadershipKey(shard_id), shard.replica.leadership_version});
   AddTableConditions(shard_id, &txn);
   const bool compact = NeedsCompactForm(shard);
   if (compact) {
     txn.conditions.push_back({AssignmentKey(shard_id, 0, TableForm::kCompact), 0});
     txn.writes.push_back({AssignmentKey(shard_id, 0, TableForm::kCompact),
                           EncodeChunk(FirstCompactTable(shard), 0), 0, false});
-  } else if (shard.chunks.count(0) == 0) {
+  } else if (shard.replica.chunks.count(0) == 0) {
     txn.writes.push_back({AssignmentKey(shard_id, 0), EncodeChunk(AssignmentTable(), 0), 0, false});
   }
   txn.writes.push_back({LeadershipKey(shard_id), EncodeLeadership({settings_.label, boot_}),
@@ -148,43 +152,44 @@
 // of all writes with that.
 void Core::OnElectionFailed(Micros now, Shard* shard, bool conflict) {
   if (!conflict) {
-    shard->no_election_before = now + kElectionPause;
+    shard->leadership.no_election_before = now + kElectionPause;
     return;
   }
-  const int doublings = std::min(shard->election_conflicts++, kElectionDoublings);
-  shard->no_election_before = now + (kElectionPause << doublings);
-  if (shard->election_conflicts % kConflictsBeforeList == 0) feed_.RequestList();
+  const int doublings = std::min(shard->leadership.election_conflicts++, kElectionDoublings);
+  shard->leadership.no_election_before = now + (kElectionPause << doublings);
+  if (shard->leadership.election_conflicts % kConflictsBeforeList == 0) feed_.RequestList();
 }
 
 void Core::OnElected(Micros now, int shard_id, uint64_t revision) {
   Shard& shard = ShardAt(shard_id);
   ++counters_.elections;
-  if (revision <= shard.epoch) {
+  if (revision <= shard.leadership.epoch) {
     NoteViolation(Violation::kEpochFell, Event("election")
                                              .With("shard", shard_id)
-                                             .With("epoch", shard.epoch)
+                                             .With("epoch", shard.leadership.epoch)
                                              .With("revision", revision)
                                              .text());
     return;
   }
-  shard.is_leader = true;
-  shard.epoch = revision;
-  shard.elected_at = now;
-  shard.releasing = false;
-  shard.heard_few_at = 0;
-  shard.committing = false;
-  shard.progress_at = now + FromSeconds(settings_.op.progress_period_s());
-  Log(LogLine::Level::kInfo, Event("leadership_gained")
-                                 .With("shard", shard_id)
-                                 .With("epoch", revision)
-                                 .With("token", TokenForEpoch(revision))
-                                 .With("replica_revision", feed_.revision())
-                                 .WithSpan("replica_age_ms", now - feed_.complete_up_to())
-                                 .With("machines", shard.assignments.machines.size())
-                                 .text());
+  shard.leadership.is_leader = true;
+  shard.leadership.epoch = revision;
+  shard.leadership.elected_at = now;
+  shard.leadership.releasing = false;
+  shard.leadership.heard_few_at = 0;
+  shard.cycle.committing = false;
+  shard.cycle.progress_at = now + FromSeconds(settings_.op.progress_period_s());
+  effects_.Log(LogLine::Level::kInfo,
+               Event("leadership_gained")
+                   .With("shard", shard_id)
+                   .With("epoch", revision)
+                   .With("token", TokenForEpoch(revision))
+                   .With("replica_revision", feed_.revision())
+                   .WithSpan("replica_age_ms", now - feed_.complete_up_to())
+                   .With("machines", shard.replica.assignments.machines.size())
+                   .text());
   ForgetDecisions(shard_id);
   InheritMachines(now, shard_id);
-  for (const auto& [id, rental] : shard.assignments.rentals) rental_states_.erase(id);
+  for (const auto& [id, rental] : shard.replica.assignments.rentals) rental_states_.erase(id);
   for (const std::string& id : open_jobs_) {
     const JobEntry& entry = jobs_.at(id);
     if (entry.record.shard_id == shard_id) LoadRun(shard_id, id, entry);
@@ -204,15 +209,15 @@
   // What the previous leader told of silent machines counts if it told it just now. Else
   // each machine has the time for two reports first: it may be well and heard elsewhere.
   Micros last_alive = now, earliest = now - settings_.lease + 2 * settings_.report + kHeardSlack;
-  if (auto peer = peers_.find(shard.previous_leader);
+  if (auto peer = peers_.find(shard.leadership.previous_leader);
       peer != peers_.end() && peer->second.heard != 0) {
     last_alive = peer->second.heard;
     if (now - last_alive < 2 * session_lease_.life() + kHeardSlack) earliest = 0;
   }
   earliest = std::min(earliest, now);
-  for (const auto& [name, machine] : shard.assignments.machines) {
+  for (const auto& [name, machine] : shard.replica.assignments.machines) {
     MachineInfo& info = machines_[name];
-    InheritMachine(shard.epoch, machine, &info);
+    InheritMachine(shard.leadership.epoch, machine, &info);
     // Its silence began when the previous leader missed it, or with that leader's end,
     // and not with the election: a shard that changed hands twice while many machines were
     // cut off once waited two leases for them.
@@ -244,59 +249,65 @@
 
 void Core::LoseAllLeaderships(Micros now, const char* why) {
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
-    if (ShardAt(shard_id).is_leader) LoseLeadership(now, shard_id, why);
+    if (ShardAt(shard_id).leadership.is_leader) LoseLeadership(now, shard_id, why);
   }
 }
 
 void Core::LoseLeadership(Micros now, int shard_id, const char* why) {
   Shard& shard = ShardAt(shard_id);
-  shard.is_leader = false;
-  shard.committing = false;
+  shard.leadership.is_leader = false;
+  shard.cycle.committing = false;
   ++counters_.lost_leaderships;
-  shard.no_election_before = std::max(shard.no_election_before, now + 200 * kMilli);
-  Log(LogLine::Level::kInfo, Event("leadership_lost")
-                                 .With("shard", shard_id)
-                                 .With("epoch", shard.epoch)
-                                 .With("rival_epoch", shard.rival_epoch)
-                                 .WithSpan("led_ms", now - shard.elected_at)
-                                 .With("why", why)
-                                 .text());
+  shard.leadership.no_election_before =
+      std::max(shard.leadership.no_election_before, now + 200 * kMilli);
+  effects_.Log(LogLine::Level::kInfo, Event("leadership_lost")
+                                          .With("shard", shard_id)
+                                          .With("epoch", shard.leadership.epoch)
+                                          .With("rival_epoch", shard.leadership.rival_epoch)
+                                          .WithSpan("led_ms", now - shard.leadership.elected_at)
+                                          .With("why", why)
+                                          .text());
 }
 
 void Core::HandBack(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
-  if (!shard.is_leader || shard.releasing || shard.committing || !StateFresh(now)) return;
-  if (now - shard.elected_at < 5 * kSecond) return;
+  if (!shard.leadership.is_leader || shard.leadership.releasing || shard.cycle.committing ||
+      !StateFresh(now))
+    return;
+  if (now - shard.leadership.elected_at < 5 * kSecond) return;
   // Not while many of its machines are being missed: the new leader would have to find
   // out about all of them again. But neither for ever.
-  if (shard.silent * 20 > static_cast<int>(shard.assignments.machines.size()) &&
-      now - shard.elected_at < 2 * settings_.cancel) {
+  if (shard.leadership.silent * 20 > static_cast<int>(shard.replica.assignments.machines.size()) &&
+      now - shard.leadership.elected_at < 2 * settings_.cancel) {
     return;
   }
   if (!write_budget_.Take(now, 1)) return;
-  shard.releasing = true;
+  shard.leadership.releasing = true;
   StateTxn txn;
-  txn.conditions.push_back({LeadershipKey(shard_id), shard.epoch});
+  txn.conditions.push_back({LeadershipKey(shard_id), shard.leadership.epoch});
   txn.writes.push_back({LeadershipKey(shard_id), "", 0, true});
   ++counters_.puts;
-  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kStateTimeout,
-       [this, shard_id, epoch = shard.epoch](Micros answered, int status, const std::string&) {
-         Shard& shard = ShardAt(shard_id);
-         shard.releasing = false;
-         if (status == 200 && shard.is_leader && shard.epoch == epoch) {
-           ++counters_.handed_back;
-           shard.no_election_before = answered + 3 * kSecond;
-           LoseLeadership(answered, shard_id, "handed back");
-         }
-       });
+  effects_.Send(
+      Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kStateTimeout,
+      [this, shard_id, epoch = shard.leadership.epoch](Micros answered, int status,
+                                                       const std::string&) {
+        Shard& shard = ShardAt(shard_id);
+        shard.leadership.releasing = false;
+        if (status == 200 && shard.leadership.is_leader && shard.leadership.epoch == epoch) {
+          ++counters_.handed_back;
+          shard.leadership.no_election_before = answered + 3 * kSecond;
+          LoseLeadership(answered, shard_id, "handed back");
+        }
+      });
 }
 
 std::string Core::LeaderLabel(int shard_id) const {
   const Shard& shard = ShardAt(shard_id);
-  if (shard.is_leader) return settings_.label;
-  if (shard.leadership_version != 0 && shard.leadership_version >= shard.rival_epoch)
-    return shard.leadership.leader;
-  return shard.rival_epoch > shard.epoch ? shard.rival_leader : "";
+  if (shard.leadership.is_leader) return settings_.label;
+  if (shard.replica.leadership_version != 0 &&
+      shard.replica.leadership_version >= shard.leadership.rival_epoch)
+    return shard.replica.leadership_record.leader;
+  return shard.leadership.rival_epoch > shard.leadership.epoch ? shard.leadership.rival_leader : "";
 }
 
 bool Core::Up(Micros now) const {
--- a/src/core/permits.cc
+++ b/src/core/leadership/permits.cc
@@ -1,4 +1,4 @@
-#include "core/permits.h"
+#include "core/leadership/permits.h"
 
 #include <string>
 
--- a/src/core/permits.h
+++ b/src/core/leadership/permits.h
@@ -4,8 +4,8 @@
 // Starts, renewals of leases and answers about open jobs are encoded by functions that take a
 // permit, so that no path can leave a check out. The argument that these checks keep the rules
 // is in docs/design.md.
-#ifndef TROUTLINK_CORE_PERMITS_H_
-#define TROUTLINK_CORE_PERMITS_H_
+#ifndef TROUTLINK_CORE_LEADERSHIP_PERMITS_H_
+#define TROUTLINK_CORE_LEADERSHIP_PERMITS_H_
 
 #include <array>
 #include <cstddef>
@@ -132,4 +132,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_PERMITS_H_
+#endif  // TROUTLINK_CORE_LEADERSHIP_PERMITS_H_
--- a/src/core/session_lease.cc
+++ b/src/core/leadership/session_lease.cc
@@ -1,4 +1,4 @@
-#include "core/session_lease.h"
+#include "core/leadership/session_lease.h"
 
 namespace troutlink {
 
--- a/src/core/session_lease.h
+++ b/src/core/leadership/session_lease.h
@@ -1,6 +1,6 @@
 // The lease of this process at the state service, which its leadership records hang on.
-#ifndef TROUTLINK_CORE_SESSION_LEASE_H_
-#define TROUTLINK_CORE_SESSION_LEASE_H_
+#ifndef TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_H_
+#define TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_H_
 
 #include <cstdint>
 #include <optional>
@@ -52,4 +52,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_SESSION_LEASE_H_
+#endif  // TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_H_
--- a/src/core/commit.cc
+++ b/src/core/scheduler/commit.cc
@@ -3,7 +3,7 @@
 #include <memory>
 
 #include "core/core.h"
-#include "core/plan.h"
+#include "core/scheduler/plan.h"
 
 namespace troutlink {
 
@@ -64,18 +64,18 @@
   WriteMovedJobs(plan, &txn);
   if (plan->progress) WriteProgress(shard_id, &txn);
   if (txn.writes.empty()) {
-    shard.cleanup = false;
+    shard.cycle.cleanup = false;
     return;
   }
   if (!MayCommitNow(now, &shard, *plan) || !TakeWrites(now, shard_id, *plan, txn.writes.size())) {
     return;
   }
-  shard.cleanup_at = 0;
-  shard.committed_at = now;
+  shard.cycle.cleanup_at = 0;
+  shard.cycle.committed_at = now;
   AddConditions(shard_id, *plan, &txn);
   if (plan->progress) {
-    shard.progress_dirty = false;
-    shard.progress_at = now + FromSeconds(settings_.op.progress_period_s());
+    shard.cycle.progress_dirty = false;
+    shard.cycle.progress_at = now + FromSeconds(settings_.op.progress_period_s());
   }
   std::string body = wire::EncodeTxn(txn);
   if (!FitsTransaction(txn, body)) {
@@ -89,9 +89,9 @@
 // Writes the chunks of a shard's table whose machines changed, and no others.
 void Core::WriteTable(int shard_id, AssignmentTable* assignments, StateTxn* txn) const {
   const Shard& shard = ShardAt(shard_id);
-  std::set<int> changed = ChangedChunks(shard.assignments, *assignments);
+  std::set<int> changed = ChangedChunks(shard.replica.assignments, *assignments);
   // The header is in every commit: its version is that of the whole table.
-  if (!changed.empty() || shard.chunks.count(0) == 0) changed.insert(0);
+  if (!changed.empty() || shard.replica.chunks.count(0) == 0) changed.insert(0);
   const int64_t full = Limits().value_bytes * kFullPercent / 100;
   bool split = false;
   std::vector<std::pair<int, std::string>> values;
@@ -166,15 +166,15 @@
 bool Core::MayCommitNow(Micros now, Shard* shard, const Plan& plan) {
   if (!plan.urgent && !plan.progress) {
     // Removals alone.
-    if (shard->cleanup_at == 0) {
-      shard->cleanup_at = now + kCleanupPeriod;
+    if (shard->cycle.cleanup_at == 0) {
+      shard->cycle.cleanup_at = now + kCleanupPeriod;
       return false;
     }
-    if (now < shard->cleanup_at) return false;
+    if (now < shard->cycle.cleanup_at) return false;
   }
-  if (plan.critical || now - shard->committed_at >= kRoundPeriod) return true;
-  shard->dirty = true;
-  shard->not_before = shard->committed_at + kRoundPeriod;
+  if (plan.critical || now - shard->cycle.committed_at >= kRoundPeriod) return true;
+  shard->cycle.dirty = true;
+  shard->cycle.not_before = shard->cycle.committed_at + kRoundPeriod;
   return false;
 }
 
@@ -191,8 +191,8 @@
     if (taken) return true;
   }
   Shard& shard = ShardAt(shard_id);
-  shard.dirty = true;
-  shard.not_before = now + kNoWritesPause;
+  shard.cycle.dirty = true;
+  shard.cycle.not_before = now + kNoWritesPause;
   return false;
 }
 
@@ -200,13 +200,13 @@
 // builds on has changed. Another shard's table changes under that shard's leadership, so that an
 // election there voids what was decided before.
 void Core::AddConditions(int shard_id, const Plan& plan, StateTxn* txn) const {
-  txn->conditions.push_back({LeadershipKey(shard_id), ShardAt(shard_id).epoch});
+  txn->conditions.push_back({LeadershipKey(shard_id), ShardAt(shard_id).leadership.epoch});
   for (int id = 0; id < settings_.shard_count(); ++id) {
     if (id == shard_id || plan.all_tables || plan.others.count(id) != 0) {
       AddTableConditions(id, txn);
     }
     if (id != shard_id && plan.others.count(id) != 0) {
-      txn->conditions.push_back({LeadershipKey(id), ShardAt(id).leadership_version});
+      txn->conditions.push_back({LeadershipKey(id), ShardAt(id).replica.leadership_version});
     }
   }
   for (const std::string& id : plan.jobs) {
@@ -221,16 +221,16 @@
   const Shard& shard = ShardAt(shard_id);
   AddHeaderCondition(shard_id, txn);
   if (all_nodes_current_) return;
-  for (const auto& [index, chunk] : shard.chunks) {
+  for (const auto& [index, chunk] : shard.replica.chunks) {
     if (index != 0) txn->conditions.push_back({AssignmentKey(shard_id, index), chunk.version});
   }
 }
 
 void Core::AddHeaderCondition(int shard_id, StateTxn* txn) const {
   const Shard& shard = ShardAt(shard_id);
-  auto header = shard.chunks.find(0);
-  txn->conditions.push_back({AssignmentKey(shard_id, 0, shard.assignments.form),
-                             header == shard.chunks.end() ? 0 : header->second.version});
+  auto header = shard.replica.chunks.find(0);
+  txn->conditions.push_back({AssignmentKey(shard_id, 0, shard.replica.assignments.form),
+                             header == shard.replica.chunks.end() ? 0 : header->second.version});
 }
 
 bool Core::FitsTransaction(const StateTxn& txn, const std::string& body) const {
@@ -247,13 +247,14 @@
 // decide less.
 void Core::DecideLess(Micros now, int shard_id, const Plan& plan) {
   Shard& shard = ShardAt(shard_id);
-  Log(LogLine::Level::kInfo, "shard " + std::to_string(shard_id) + " decided more than fits");
+  effects_.Log(LogLine::Level::kInfo,
+               "shard " + std::to_string(shard_id) + " decided more than fits");
   ++counters_.oversized;
-  shard.narrow = kNarrowRounds;
-  shard.batch = std::max<uint32_t>(1, shard.batch / 4);
-  shard.acquire_after = now + kSecond;
-  shard.dirty = true;
-  shard.progress_dirty = shard.progress_dirty || plan.progress;
+  shard.cycle.narrow = kNarrowRounds;
+  shard.cycle.batch = std::max<uint32_t>(1, shard.cycle.batch / 4);
+  shard.cycle.acquire_after = now + kSecond;
+  shard.cycle.dirty = true;
+  shard.cycle.progress_dirty = shard.cycle.progress_dirty || plan.progress;
 }
 
 void Core::SendCommit(int shard_id, std::shared_ptr<const Plan> plan,
@@ -261,12 +262,12 @@
   Shard& shard = ShardAt(shard_id);
   counters_.puts += writes->size();
   ++counters_.commits;
-  shard.committing = true;
-  Send(Dest::kState, "", "POST", wire::CommitTarget(), std::move(body), kCommitTimeout,
-       [this, shard_id, plan = std::move(plan), writes = std::move(writes), epoch = shard.epoch](
-           Micros at, int status, const std::string& answer) {
-         OnCommitAnswered(at, shard_id, epoch, *plan, *writes, status, answer);
-       });
+  shard.cycle.committing = true;
+  effects_.Send(Dest::kState, "", "POST", wire::CommitTarget(), std::move(body), kCommitTimeout,
+                [this, shard_id, plan = std::move(plan), writes = std::move(writes),
+                 epoch = shard.leadership.epoch](Micros at, int status, const std::string& answer) {
+                  OnCommitAnswered(at, shard_id, epoch, *plan, *writes, status, answer);
+                });
 }
 
 void Core::OnCommitAnswered(Micros now, int shard_id, uint64_t epoch, const Plan& plan,
@@ -276,8 +277,8 @@
   std::optional<wire::TxnReply> reply;
   if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
   if (reply) state_ok_ = now;
-  const bool current = shard.is_leader && shard.epoch == epoch;
-  if (current) shard.committing = false;
+  const bool current = shard.leadership.is_leader && shard.leadership.epoch == epoch;
+  if (current) shard.cycle.committing = false;
   if (status == 200 && reply) {
     for (const StateWrite& write : writes) {
       if (write.erase) {
@@ -291,8 +292,8 @@
     return;
   }
   if (!current) return;
-  shard.dirty = true;
-  if (plan.progress) shard.progress_dirty = true;
+  shard.cycle.dirty = true;
+  if (plan.progress) shard.cycle.progress_dirty = true;
   if (status == 409) {
     OnCommitConflict(now, &shard, plan, reply ? reply->failed : std::vector<std::string>());
     return;
@@ -304,9 +305,9 @@
   if (status == 400) {
     // The limits may have come before this node knew that all nodes can keep to them.
     ++counters_.refused_by_limits;
-    shard.narrow = kNarrowRounds;
+    shard.cycle.narrow = kNarrowRounds;
   }
-  shard.not_before = now + kFailedCommitPause;
+  shard.cycle.not_before = now + kFailedCommitPause;
 }
 
 // The replica is behind; the watch is about to tell. The leadership itself may be gone,
@@ -314,10 +315,10 @@
 void Core::OnCommitConflict(Micros now, Shard* shard, const Plan& plan,
                             const std::vector<std::string>& failed) {
   ++counters_.commit_conflicts;
-  if (!plan.others.empty()) shard->acquire_after = now + kAcquirePause;
-  ++shard->conflicts;
-  const Micros pause = kConflictPause << std::min(shard->conflicts, kConflictDoublings);
-  shard->not_before = now + std::min(kFailedCommitPause, pause);
+  if (!plan.others.empty()) shard->cycle.acquire_after = now + kAcquirePause;
+  ++shard->cycle.conflicts;
+  const Micros pause = kConflictPause << std::min(shard->cycle.conflicts, kConflictDoublings);
+  shard->cycle.not_before = now + std::min(kFailedCommitPause, pause);
   for (const std::string& name : failed) {
     const Key key = ParseKey(name);
     if (key.kind == Key::Kind::kJob) FetchJob(now, key.id);
@@ -326,9 +327,9 @@
 
 void Core::OnCommitted(Micros now, int shard_id, const Plan& plan) {
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  shard.cleanup = false;
-  shard.conflicts = 0;
-  shard.dirty = true;
+  shard.cycle.cleanup = false;
+  shard.cycle.conflicts = 0;
+  shard.cycle.dirty = true;
   std::set<std::string> touched;
   for (const auto& [machine, a] : plan.started) {
     auto it = attempts_.find(a);
@@ -339,7 +340,7 @@
     touched.insert(machine);
   }
   counters_.acquired_machines += plan.others.empty() ? 0 : 1;
-  for (const auto& [name, m] : shard.assignments.machines) {
+  for (const auto& [name, m] : shard.replica.assignments.machines) {
     if (machines_[name].probe) touched.insert(name);  // has just come
   }
   for (const std::string& name : touched) Push(now, shard_id, name);
--- a/src/core/job_records.cc
+++ b/src/core/scheduler/job_records.cc
@@ -7,7 +7,7 @@
 
 #include "base/ids.h"
 #include "core/core.h"
-#include "core/plan.h"
+#include "core/scheduler/plan.h"
 
 namespace troutlink {
 
@@ -31,18 +31,18 @@
 // True: a commit was sent, or waits for its turn to write; no round now.
 bool Core::CommitJobRecords(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
-  if (std::exchange(shard.records_committed, false)) return false;  // a round has its turn
+  if (std::exchange(shard.cycle.records_committed, false)) return false;  // a round has its turn
   StateTxn txn;
   WriteOrphans(shard_id, &txn);
   bool progress = false;
-  if (shard.assignments.form == TableForm::kCompact) {
+  if (shard.replica.assignments.form == TableForm::kCompact) {
     WriteDoneRecords(now, shard_id, &txn);
-    progress =
-        shard.progress_dirty && now >= shard.progress_at && WriteProgressPages(now, shard_id, &txn);
+    progress = shard.cycle.progress_dirty && now >= shard.cycle.progress_at &&
+               WriteProgressPages(now, shard_id, &txn);
   }
   if (txn.writes.empty()) return false;
-  shard.records_committed = true;
-  return CommitAlone(now, shard_id, shard.assignments, std::move(txn), progress);
+  shard.cycle.records_committed = true;
+  return CommitAlone(now, shard_id, shard.replica.assignments, std::move(txn), progress);
 }
 
 // Jobs that depend on a cancelled one. None of their tasks ever started, as the cancelled job
@@ -81,17 +81,18 @@
   for (size_t page = 0; page < page_count; ++page) {
     std::string value = FittingProgress(std::move(pages[page]));
     const int index = static_cast<int>(page);
-    if (shard.progress_values[index] == value) continue;
+    if (shard.replica.progress_values[index] == value) continue;
     if (!HasRoomForWrite(*txn)) {
       left = true;
       break;
     }
-    txn->conditions.push_back({ProgressKey(shard_id, index), shard.progress_versions[index]});
+    txn->conditions.push_back(
+        {ProgressKey(shard_id, index), shard.replica.progress_versions[index]});
     txn->writes.push_back({ProgressKey(shard_id, index), std::move(value), 0, false});
     any = true;
   }
-  shard.progress_dirty = left;
-  if (!left) shard.progress_at = now + FromSeconds(settings_.op.progress_period_s());
+  shard.cycle.progress_dirty = left;
+  if (!left) shard.cycle.progress_at = now + FromSeconds(settings_.op.progress_period_s());
   return any;
 }
 
--- a/src/core/order.cc
+++ b/src/core/scheduler/order.cc
@@ -1,4 +1,4 @@
-#include "core/order.h"
+#include "core/scheduler/order.h"
 
 #include <algorithm>
 #include <queue>
--- a/src/core/order.h
+++ b/src/core/scheduler/order.h
@@ -1,6 +1,6 @@
 // In which order jobs wait. Pure.
-#ifndef TROUTLINK_CORE_ORDER_H_
-#define TROUTLINK_CORE_ORDER_H_
+#ifndef TROUTLINK_CORE_SCHEDULER_ORDER_H_
+#define TROUTLINK_CORE_SCHEDULER_ORDER_H_
 
 #include <cstddef>
 #include <vector>
@@ -23,4 +23,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_ORDER_H_
+#endif  // TROUTLINK_CORE_SCHEDULER_ORDER_H_
--- a/src/core/placement.cc
+++ b/src/core/scheduler/placement.cc
@@ -1,4 +1,4 @@
-#include "core/placement.h"
+#include "core/scheduler/placement.h"
 
 #include <algorithm>
 
--- a/src/core/placement.h
+++ b/src/core/scheduler/placement.h
@@ -1,6 +1,6 @@
 // Which machine a task goes to. Pure: works on a snapshot of the machines.
-#ifndef TROUTLINK_CORE_PLACEMENT_H_
-#define TROUTLINK_CORE_PLACEMENT_H_
+#ifndef TROUTLINK_CORE_SCHEDULER_PLACEMENT_H_
+#define TROUTLINK_CORE_SCHEDULER_PLACEMENT_H_
 
 #include <algorithm>
 #include <map>
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/records.h"
+#include "core/store/records.h"
 #include "wire/types.h"
 
 namespace troutlink {
@@ -134,4 +134,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_PLACEMENT_H_
+#endif  // TROUTLINK_CORE_SCHEDULER_PLACEMENT_H_
--- a/src/core/placing.cc
+++ b/src/core/scheduler/placing.cc
@@ -3,8 +3,8 @@
 #include <memory>
 
 #include "core/core.h"
-#include "core/plan.h"
-#include "core/quota.h"
+#include "core/scheduler/plan.h"
+#include "core/scheduler/quota.h"
 
 namespace troutlink {
 
@@ -59,10 +59,10 @@
   size_t others = 0;
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     if (other_id == shard_id) continue;
-    others = std::max(others, shards_[static_cast<size_t>(other_id)].chunks.size());
+    others = std::max(others, shards_[static_cast<size_t>(other_id)].replica.chunks.size());
   }
   const size_t taken =
-      shards_[static_cast<size_t>(shard_id)].chunks.size() + others + kOtherConditions;
+      shards_[static_cast<size_t>(shard_id)].replica.chunks.size() + others + kOtherConditions;
   return conditions > taken ? conditions - taken : 1;
 }
 
@@ -84,7 +84,7 @@
         shard_id_(shard_id),
         plan_(*plan),
         shard_(core->ShardAt(shard_id)),
-        batch_(std::max(shard_.batch, core->settings_.op.batch())),
+        batch_(std::max(shard_.cycle.batch, core->settings_.op.batch())),
         max_jobs_(core->MaxJobsOfRound(shard_id)),
         max_reserved_(1 + plan->machines.size() / kMachinesPerReservation),
         headroom_(core->HeadroomOf(shard_id, *plan)),
@@ -258,7 +258,7 @@
   if (job->machine >= 0) return;
   // A machine of another chunk has room: no reason to take or rent one.
   if (plan_.windowed && FitsClosedMachine(job)) {
-    shard_.dirty = true;
+    shard_.cycle.dirty = true;
     return;
   }
   AcquireMachine(job);
@@ -329,9 +329,9 @@
     ++reserved_;
     Reserve(&plan_, spec);
   }
-  if (spec.priority == Priority::kProduction && now_ - shard_.explained_at > kSecond) {
-    shard_.explained_at = now_;
-    core_.Log(LogLine::Level::kDebug,
+  if (spec.priority == Priority::kProduction && now_ - shard_.cycle.explained_at > kSecond) {
+    shard_.cycle.explained_at = now_;
+    core_.effects_.Log(LogLine::Level::kDebug,
               "no room for " + spec.id + " (" + std::to_string(job->left) + " left)");
   }
   MakeRoom(*job);
@@ -364,9 +364,9 @@
     if (placer.Full()) break;
     placer.Place(job);
   }
-  ShardAt(shard_id).batch = placer.BatchFull()
-                                ? std::min(placer.batch() * 2, settings_.op.batch_most())
-                                : settings_.op.batch();
+  ShardAt(shard_id).cycle.batch = placer.BatchFull()
+                                      ? std::min(placer.batch() * 2, settings_.op.batch_most())
+                                      : settings_.op.batch();
 }
 
 // How many more tasks of a job its team's limit allows in this shard.
--- a/src/core/plan.h
+++ b/src/core/scheduler/plan.h
@@ -1,6 +1,6 @@
 // What one round decided and has not committed yet.
-#ifndef TROUTLINK_CORE_PLAN_H_
-#define TROUTLINK_CORE_PLAN_H_
+#ifndef TROUTLINK_CORE_SCHEDULER_PLAN_H_
+#define TROUTLINK_CORE_SCHEDULER_PLAN_H_
 
 #include <map>
 #include <set>
@@ -151,4 +151,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_PLAN_H_
+#endif  // TROUTLINK_CORE_SCHEDULER_PLAN_H_
--- a/src/core/preemption.cc
+++ b/src/core/scheduler/preemption.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/plan.h"
+#include "core/scheduler/plan.h"
 
 namespace troutlink {
 
@@ -54,7 +54,7 @@
   plan->preemptible_known = true;
   std::map<std::string, const PlaceMachine*> places;
   for (const PlaceMachine& machine : plan->machines) places[machine.name] = &machine;
-  for (const MachineUse& use : shard.machine_use) {
+  for (const MachineUse& use : shard.replica.machine_use) {
     auto place = places.find(use.machine->name);
     if (place == places.end() || !place->second->usable || !place->second->helps.empty()) continue;
     if (place->second->preemptible == Amount()) continue;
--- a/src/core/quota.cc
+++ b/src/core/scheduler/quota.cc
@@ -1,4 +1,4 @@
-#include "core/quota.h"
+#include "core/scheduler/quota.h"
 
 #include <algorithm>
 
--- a/src/core/quota.h
+++ b/src/core/scheduler/quota.h
@@ -1,12 +1,12 @@
 // Teams' limits, split into shares of the shards, and their guarantees.
-#ifndef TROUTLINK_CORE_QUOTA_H_
-#define TROUTLINK_CORE_QUOTA_H_
+#ifndef TROUTLINK_CORE_SCHEDULER_QUOTA_H_
+#define TROUTLINK_CORE_SCHEDULER_QUOTA_H_
 
 #include <map>
 #include <string>
 
 #include "config/settings.h"
-#include "core/records.h"
+#include "core/store/records.h"
 
 namespace troutlink {
 
@@ -21,4 +21,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_QUOTA_H_
+#endif  // TROUTLINK_CORE_SCHEDULER_QUOTA_H_
--- a/src/core/round_window.cc
+++ b/src/core/scheduler/round_window.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "core/core.h"
-#include "core/plan.h"
+#include "core/scheduler/plan.h"
 
 namespace troutlink {
 
@@ -21,32 +21,32 @@
   // header is a small part of what it writes.
   int most =
       compact ? std::min(ops, kMaxSmallChunksAtOnce) : std::clamp(ops / 2, 3, kMaxChunksAtOnce);
-  if (shard->narrow > 0) {
+  if (shard->cycle.narrow > 0) {
     most = 2;
-    --shard->narrow;
+    --shard->cycle.narrow;
   }
   plan->most_writes = static_cast<size_t>(ops);
   if (plan->assignments.chunks <= most) return;
   plan->windowed = true;
   plan->most_chunks = static_cast<size_t>(most);
   plan->window.insert(0);  // numbers, shares and rentals are there
-  if (shard->cleanup) shard->dirty = true;
-  if (compact && (++shard->window_turn % 2) == 0) {
+  if (shard->cycle.cleanup) shard->cycle.dirty = true;
+  if (compact && (++shard->cycle.window_turn % 2) == 0) {
     plan->removals = RoomiestChunks(*shard, static_cast<size_t>(most) - 1);
     return;
   }
   const int turns = std::max(1, most / 2);
   for (int i = 0; i < turns; ++i) {
-    plan->removals.insert((shard->window_at + i) % plan->assignments.chunks);
+    plan->removals.insert((shard->cycle.window_at + i) % plan->assignments.chunks);
   }
-  shard->window_at = (shard->window_at + turns) % plan->assignments.chunks;
+  shard->cycle.window_at = (shard->cycle.window_at + turns) % plan->assignments.chunks;
 }
 
 // The chunks whose machines have most room: most starts for one commit. Every second round takes
 // them, the others the chunks that come first, as some work fits on few machines only.
 std::set<int> Core::RoomiestChunks(const Shard& shard, size_t most) const {
   std::map<int, int64_t> room;
-  for (const MachineUse& use : shard.machine_use) {
+  for (const MachineUse& use : shard.replica.machine_use) {
     const MachineType* type = TypeOf(use.machine->type);
     if (type == nullptr || use.info == nullptr || !Usable(now_, *use.machine, *use.info)) continue;
     int64_t free = type->size.cpus;
@@ -54,7 +54,7 @@
       if (slot.job == nullptr || slot.info == nullptr || slot.info->gone) continue;
       free -= slot.job->record.spec.each.cpus;
     }
-    room[shard.assignments.ChunkOfMachine(use.machine->name)] += std::max<int64_t>(0, free);
+    room[shard.replica.assignments.ChunkOfMachine(use.machine->name)] += std::max<int64_t>(0, free);
   }
   std::vector<std::pair<int64_t, int>> order;
   order.reserve(room.size());
--- a/src/core/rounds.cc
+++ b/src/core/scheduler/rounds.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/plan.h"
-#include "core/quota.h"
+#include "core/scheduler/plan.h"
+#include "core/scheduler/quota.h"
 
 namespace troutlink {
 
@@ -30,11 +30,12 @@
   run.shard_id = shard_id;
   run.last_start = now_;
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  if (entry.record.spec.priority == Priority::kProduction && shard.conflicts == 0) {
-    shard.not_before = std::min(shard.not_before, shard.round_at + RoundPace(shard) / kHurry);
+  if (entry.record.spec.priority == Priority::kProduction && shard.cycle.conflicts == 0) {
+    shard.cycle.not_before =
+        std::min(shard.cycle.not_before, shard.cycle.round_at + RoundPace(shard) / kHurry);
   }
   run.tasks.assign(static_cast<size_t>(entry.record.spec.tasks), kWaiting);
-  const Progress& progress = shards_[static_cast<size_t>(shard_id)].progress;
+  const Progress& progress = shards_[static_cast<size_t>(shard_id)].replica.progress;
   auto it = progress.find(id);
   if (it != progress.end() && entry.record.spec.kind != JobKind::kService) {
     for (int task : it->second) {
@@ -54,10 +55,10 @@
   for (auto& [id, run] : runs_) {
     if (run.shard_id == shard_id) ForgetPlaced(&run);
   }
-  for (MachineUse& use : shard.machine_use) {
+  for (MachineUse& use : shard.replica.machine_use) {
     MachineInfo& info = machines_[use.machine->name];
     use.info = &info;
-    if (info.assigned_epoch != shard.epoch) MachineCame(now, shard, *use.machine, &info);
+    if (info.assigned_epoch != shard.leadership.epoch) MachineCame(now, shard, *use.machine, &info);
     SyncAttempts(now, shard_id, &use);
   }
   std::erase_if(attempts_, [&](const auto& item) {
@@ -82,10 +83,10 @@
 // revision. It may have been here before, under an older one.
 void Core::MachineCame(Micros now, const Shard& shard, const AssignedMachine& machine,
                        MachineInfo* info) {
-  info->assigned_epoch = shard.epoch;
-  auto chunk = shard.chunks.find(shard.assignments.ChunkOfMachine(machine.name));
-  uint64_t revision = shard.epoch;
-  if (chunk != shard.chunks.end()) revision = std::max(revision, chunk->second.version);
+  info->assigned_epoch = shard.leadership.epoch;
+  auto chunk = shard.replica.chunks.find(shard.replica.assignments.ChunkOfMachine(machine.name));
+  uint64_t revision = shard.leadership.epoch;
+  if (chunk != shard.replica.chunks.end()) revision = std::max(revision, chunk->second.version);
   info->fencing_token = std::max(info->fencing_token, TokenForEpoch(revision));
   info->required_token = std::max(info->required_token, TokenForEpoch(revision));
   info->since = now;
@@ -154,13 +155,13 @@
 void Core::BeginPlan(Micros now, int shard_id, Plan* plan) const {
   const Shard& shard = shards_[static_cast<size_t>(shard_id)];
   AssignmentTable& assignments = plan->assignments;
-  assignments.next_number = shard.assignments.next_number;
-  assignments.rentals = shard.assignments.rentals;
-  assignments.shares = shard.assignments.shares;
-  assignments.helps = shard.assignments.helps;
+  assignments.next_number = shard.replica.assignments.next_number;
+  assignments.rentals = shard.replica.assignments.rentals;
+  assignments.shares = shard.replica.assignments.shares;
+  assignments.helps = shard.replica.assignments.helps;
   std::erase_if(assignments.helps, [this](const auto& h) { return runs_.count(h.first) == 0; });
-  plan->machines.reserve(shard.machine_use.size() + 16);
-  for (const MachineUse& use : shard.machine_use) {
+  plan->machines.reserve(shard.replica.machine_use.size() + 16);
+  for (const MachineUse& use : shard.replica.machine_use) {
     const AssignedMachine& m = *use.machine;
     const bool may =
         !plan->windowed || plan->removals.count(plan->assignments.ChunkOfMachine(m.name)) != 0;
@@ -254,21 +255,22 @@
 // processor: the more a shard has, the further apart rounds are, and the more each
 // of them decides.
 Micros Core::RoundPace(const Shard& shard) const {
-  double items = static_cast<double>(shard.assignments.machines.size() + shard.attempts);
+  double items =
+      static_cast<double>(shard.replica.assignments.machines.size() + shard.replica.attempts);
   return kRoundPace + static_cast<Micros>(items * kItemCost / (kRoundShare * settings_.cores));
 }
 
 void Core::RunRounds(Micros now) {
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     Shard& shard = shards_[static_cast<size_t>(shard_id)];
-    if (!shard.is_leader || shard.acquiring || shard.committing || shard.releasing ||
-        now < shard.not_before || types_.empty()) {
+    if (!shard.leadership.is_leader || shard.leadership.acquiring || shard.cycle.committing ||
+        shard.leadership.releasing || now < shard.cycle.not_before || types_.empty()) {
       continue;
     }
-    const bool due = shard.dirty || now - shard.last_commit > kIdleRound;
+    const bool due = shard.cycle.dirty || now - shard.cycle.last_commit > kIdleRound;
     if (!due) continue;
     if (MaintainTable(now, shard_id) || CommitJobRecords(now, shard_id)) {
-      shard.dirty = true;
+      shard.cycle.dirty = true;
     } else {
       Round(now, shard_id);
     }
@@ -278,13 +280,13 @@
 void Core::Round(Micros now, int shard_id) {
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
   ++counters_.rounds;
-  shard.dirty = false;
-  shard.last_commit = now;
-  shard.round_at = now;
-  shard.not_before = now + RoundPace(shard);
+  shard.cycle.dirty = false;
+  shard.cycle.last_commit = now;
+  shard.cycle.round_at = now;
+  shard.cycle.not_before = now + RoundPace(shard);
   Plan plan;
-  plan.assignments.form = shard.assignments.form;
-  plan.assignments.chunks = shard.assignments.chunks;
+  plan.assignments.form = shard.replica.assignments.form;
+  plan.assignments.chunks = shard.replica.assignments.chunks;
   ChooseWindow(&shard, &plan);
   BeginPlan(now, shard_id, &plan);
   std::set<std::string> service_images;
@@ -302,12 +304,12 @@
   PlanReturns(now, shard_id, &plan);
   Consolidate(now, shard_id, &plan);
   // With the compact form these have commits of their own (CommitJobRecords).
-  if (shard.assignments.form == TableForm::kOriginal) {
+  if (shard.replica.assignments.form == TableForm::kOriginal) {
     FindDoneJobs(shard_id, &plan);
-    plan.progress = shard.progress_dirty && now >= shard.progress_at;
+    plan.progress = shard.cycle.progress_dirty && now >= shard.cycle.progress_at;
   }
-  if (now >= shard.next_state_log) {
-    shard.next_state_log = now + kStateLogPeriod;
+  if (now >= shard.cycle.next_state_log) {
+    shard.cycle.next_state_log = now + kStateLogPeriod;
     LogShardState(shard_id, plan);
   }
   Commit(now, shard_id, &plan);
@@ -340,39 +342,41 @@
     wanted += u.tasks * u.spec->each.cpus;
   }
   const Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  Log(LogLine::Level::kDebug,
-      "shard " + std::to_string(shard_id) + ": " +
-          std::to_string(plan.assignments.machines.size()) + " machines, usable " +
-          std::to_string(usable) + ", chunks " + std::to_string(plan.assignments.chunks) +
-          ", attempts " + std::to_string(shard.attempts) + ", cpus steady " +
-          std::to_string(free_steady / 1000) + "/" + std::to_string(steady / 1000) + " spot " +
-          std::to_string(free_spot / 1000) + "/" + std::to_string(spot / 1000) +
-          " free, no room for " + std::to_string(waiting) + " array and " +
-          std::to_string(services) + " service tasks of " + std::to_string(wanted / 1000) +
-          " cpus, " + std::to_string(plan.assignments.rentals.size()) + " rentals, " +
-          std::to_string(write_budget_.have()) + " writes, " +
-          std::to_string(cloud_budget_.have()) + " calls left");
+  effects_.Log(LogLine::Level::kDebug,
+               "shard " + std::to_string(shard_id) + ": " +
+                   std::to_string(plan.assignments.machines.size()) + " machines, usable " +
+                   std::to_string(usable) + ", chunks " + std::to_string(plan.assignments.chunks) +
+                   ", attempts " + std::to_string(shard.replica.attempts) + ", cpus steady " +
+                   std::to_string(free_steady / 1000) + "/" + std::to_string(steady / 1000) +
+                   " spot " + std::to_string(free_spot / 1000) + "/" + std::to_string(spot / 1000) +
+                   " free, no room for " + std::to_string(waiting) + " array and " +
+                   std::to_string(services) + " service tasks of " + std::to_string(wanted / 1000) +
+                   " cpus, " + std::to_string(plan.assignments.rentals.size()) + " rentals, " +
+                   std::to_string(write_budget_.have()) + " writes, " +
+                   std::to_string(cloud_budget_.have()) + " calls left");
   for (const auto& [team_name, tasks] : plan.limited) {
     const Team* team = FindTeam(team_name);
     auto used = plan.use.teams.find(team_name);
     if (team == nullptr || used == plan.use.teams.end()) continue;
     const Share share = ShareOf(plan.assignments, *team, shard_id, settings_.shard_count());
-    Log(LogLine::Level::kDebug, "limit of " + team_name + " holds back " + std::to_string(tasks) +
-                                    " tasks in shard " + std::to_string(shard_id) + ": " +
-                                    std::to_string(used->second.cpus / 1000) + " of " +
-                                    std::to_string(share.cpus / 1000) + " cpus here, " +
-                                    std::to_string(team->cpus_max / 1000) + " in all");
+    effects_.Log(LogLine::Level::kDebug, "limit of " + team_name + " holds back " +
+                                             std::to_string(tasks) + " tasks in shard " +
+                                             std::to_string(shard_id) + ": " +
+                                             std::to_string(used->second.cpus / 1000) + " of " +
+                                             std::to_string(share.cpus / 1000) + " cpus here, " +
+                                             std::to_string(team->cpus_max / 1000) + " in all");
   }
   // Of this process, since its start: what is added up over a day comes from the log, as
   // counters end with their process.
   const Counters& c = counters_;
-  Log(LogLine::Level::kDebug,
-      "counted: starts " + std::to_string(c.starts) + ", tails " + std::to_string(c.tails) +
-          ", helpers " + std::to_string(c.helpers) + ", overdue " + std::to_string(c.overdue) +
-          ", preempted " + std::to_string(c.preempted) + ", cleared " +
-          std::to_string(c.consolidated) + ", accepted " + std::to_string(c.accepted) + ", puts " +
-          std::to_string(c.puts) + ", commits " + std::to_string(c.commits) + ", conflicts " +
-          std::to_string(c.commit_conflicts));
+  effects_.Log(LogLine::Level::kDebug,
+               "counted: starts " + std::to_string(c.starts) + ", tails " +
+                   std::to_string(c.tails) + ", helpers " + std::to_string(c.helpers) +
+                   ", overdue " + std::to_string(c.overdue) + ", preempted " +
+                   std::to_string(c.preempted) + ", cleared " + std::to_string(c.consolidated) +
+                   ", accepted " + std::to_string(c.accepted) + ", puts " + std::to_string(c.puts) +
+                   ", commits " + std::to_string(c.commits) + ", conflicts " +
+                   std::to_string(c.commit_conflicts));
 }
 
 // Attempt numbers differ between shards, so that a job may change its shard.
--- a/src/core/table_form.cc
+++ b/src/core/scheduler/table_form.cc
@@ -15,7 +15,7 @@
 #include <utility>
 
 #include "core/core.h"
-#include "core/plan.h"
+#include "core/scheduler/plan.h"
 
 namespace troutlink {
 
@@ -32,7 +32,7 @@
 }  // namespace
 
 bool Core::NeedsCompactForm(const Shard& shard) const {
-  if (!all_nodes_current_ || shard.assignments.form == TableForm::kCompact) return false;
+  if (!all_nodes_current_ || shard.replica.assignments.form == TableForm::kCompact) return false;
   const StateLimits& limits = Limits();
   // Values that shrink may leave chunks that can be divided in no transaction.
   return limits.value_bytes < kCompactBelowBytes || limits.txn_ops < kCompactBelowOps ||
@@ -41,19 +41,20 @@
 
 // Whether another shard may change this one's table: not while it changes its form.
 bool Core::MayChangeTable(const Shard& shard) const {
-  return shard.chunks.count(0) != 0 && !shard.assignments.Migrating() && !NeedsCompactForm(shard);
+  return shard.replica.chunks.count(0) != 0 && !shard.replica.assignments.Migrating() &&
+         !NeedsCompactForm(shard);
 }
 
 // The table as its compact form begins, with all machines still in the original form.
 AssignmentTable Core::FirstCompactTable(const Shard& shard) const {
-  AssignmentTable table = shard.assignments;
+  AssignmentTable table = shard.replica.assignments;
   table.form = TableForm::kCompact;
-  if (shard.chunks.empty()) {
+  if (shard.replica.chunks.empty()) {
     table.chunks = kFirstChunks;
     return table;
   }
   const int64_t most = Limits().value_bytes * kFirstFillPercent / 100;
-  table.chunks = ChunksForCompactForm(shard.assignments, most);
+  table.chunks = ChunksForCompactForm(shard.replica.assignments, most);
   table.unmigrated_from = 1;
   // A header that is too large loses the credits of tails, which are then granted anew.
   if (StoredSize(EncodeChunk(table, 0)) > Limits().value_bytes) table.helps.clear();
@@ -63,15 +64,15 @@
 // One commit for the form of the table, if there is something to do. True: no round now.
 bool Core::MaintainTable(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
-  if (shard.assignments.form != TableForm::kCompact) return false;
-  if (shard.assignments.Migrating()) return MigrateTable(now, shard_id);
-  if (std::exchange(shard.maintained, false)) return false;  // a round has its turn
-  shard.maintained = GrowTable(now, shard_id) || EraseOriginalForm(now, shard_id);
-  return shard.maintained;
+  if (shard.replica.assignments.form != TableForm::kCompact) return false;
+  if (shard.replica.assignments.Migrating()) return MigrateTable(now, shard_id);
+  if (std::exchange(shard.cycle.maintained, false)) return false;  // a round has its turn
+  shard.cycle.maintained = GrowTable(now, shard_id) || EraseOriginalForm(now, shard_id);
+  return shard.cycle.maintained;
 }
 
 bool Core::MigrateTable(Micros now, int shard_id) {
-  AssignmentTable next = ShardAt(shard_id).assignments;
+  AssignmentTable next = ShardAt(shard_id).replica.assignments;
   const int first = next.unmigrated_from;
   StateTxn txn;
   int end = first;
@@ -91,27 +92,27 @@
 
 bool Core::EraseOriginalForm(Micros now, int shard_id) {
   const Shard& shard = ShardAt(shard_id);
-  if (shard.original_chunks.empty()) return false;
+  if (shard.replica.original_chunks.empty()) return false;
   StateTxn txn;
-  for (const auto& [index, chunk] : shard.original_chunks) {
+  for (const auto& [index, chunk] : shard.replica.original_chunks) {
     if (!HasRoomForWrite(txn)) break;
     txn.writes.push_back({AssignmentKey(shard_id, index), "", 0, true});
   }
-  return CommitAlone(now, shard_id, shard.assignments, std::move(txn));
+  return CommitAlone(now, shard_id, shard.replica.assignments, std::move(txn));
 }
 
 // One more chunk, before the fullest one is too full to be divided in one transaction.
 bool Core::GrowTable(Micros now, int shard_id) {
   const Shard& shard = ShardAt(shard_id);
   size_t largest = 0;
-  for (const auto& [index, chunk] : shard.chunks) {
+  for (const auto& [index, chunk] : shard.replica.chunks) {
     if (index != 0) largest = std::max(largest, chunk.bytes);
   }
   const int64_t most = Limits().value_bytes * kGrowPercent / 100;
-  if (static_cast<int64_t>(largest) <= most || shard.assignments.chunks >= kMostChunks) {
+  if (static_cast<int64_t>(largest) <= most || shard.replica.assignments.chunks >= kMostChunks) {
     return false;
   }
-  AssignmentTable next = shard.assignments;
+  AssignmentTable next = shard.replica.assignments;
   const int divided = next.ChunkToSplit();
   const int added = next.chunks++;
   StateTxn txn;
@@ -130,11 +131,11 @@
   plan.urgent = true;
   plan.progress = progress;
   if (!TakeWrites(now, shard_id, plan, txn.writes.size())) {
-    if (progress) ShardAt(shard_id).progress_dirty = true;
+    if (progress) ShardAt(shard_id).cycle.progress_dirty = true;
     return true;
   }
   plan.assignments = std::move(assignments);
-  txn.conditions.push_back({LeadershipKey(shard_id), ShardAt(shard_id).epoch});
+  txn.conditions.push_back({LeadershipKey(shard_id), ShardAt(shard_id).leadership.epoch});
   AddHeaderCondition(shard_id, &txn);
   std::string body = wire::EncodeTxn(txn);
   SendCommit(shard_id, std::make_shared<Plan>(std::move(plan)),
--- a/src/core/tail.cc
+++ b/src/core/scheduler/tail.cc
@@ -1,4 +1,4 @@
-#include "core/tail.h"
+#include "core/scheduler/tail.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/tail.h
+++ b/src/core/scheduler/tail.h
@@ -1,6 +1,6 @@
 // Help for the tail of an array job (SpeQuloS 9C-C-R, DESIGN-troutlink).
-#ifndef TROUTLINK_CORE_TAIL_H_
-#define TROUTLINK_CORE_TAIL_H_
+#ifndef TROUTLINK_CORE_SCHEDULER_TAIL_H_
+#define TROUTLINK_CORE_SCHEDULER_TAIL_H_
 
 #include <cstdint>
 
@@ -32,4 +32,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_TAIL_H_
+#endif  // TROUTLINK_CORE_SCHEDULER_TAIL_H_
--- a/src/core/tail_help.cc
+++ b/src/core/scheduler/tail_help.cc
@@ -2,8 +2,8 @@
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/plan.h"
-#include "core/tail.h"
+#include "core/scheduler/plan.h"
+#include "core/scheduler/tail.h"
 
 namespace troutlink {
 
--- a/src/core/transfer.cc
+++ b/src/core/scheduler/transfer.cc
@@ -2,8 +2,8 @@
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/plan.h"
-#include "core/quota.h"
+#include "core/scheduler/plan.h"
+#include "core/scheduler/quota.h"
 
 namespace troutlink {
 
@@ -53,8 +53,9 @@
     plan->moved[spec.id] = best;
     plan->urgent = true;
     plan->critical = plan->critical || spec.priority == Priority::kProduction;
-    Log(LogLine::Level::kDebug, "move " + spec.id + " from shard " + std::to_string(shard_id) +
-                                    " to " + std::to_string(best));
+    effects_.Log(LogLine::Level::kDebug, "move " + spec.id + " from shard " +
+                                             std::to_string(shard_id) + " to " +
+                                             std::to_string(best));
   }
 }
 
@@ -64,23 +65,25 @@
   const Waits& waits = WaitingCpus();
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     const Shard& other = shards_[static_cast<size_t>(other_id)];
-    if (other_id == shard_id || !MayChangeTable(other) || other.committing) continue;
+    if (other_id == shard_id || !MayChangeTable(other) || other.cycle.committing) continue;
     // What waits there is about to use them: a first wave of jobs once took a
     // shard's machines away before it could decide, and left it with its services.
     const Micros after = waits[static_cast<size_t>(other_id)][0] > 0 ? kAcquireLate : kAcquireAfter;
-    for (const auto& [name, m] : other.assignments.machines) {
+    for (const auto& [name, m] : other.replica.assignments.machines) {
       if (!m.attempts.empty() || m.leaving || !m.helps.empty()) continue;
       if (m.addr.empty() || !plan->MayChange(name)) continue;  // still booting
       // One that its leader misses is no room: dead machines went from shard to shard, and
       // each began to wait for them anew.
       auto known = machines_.find(name);
-      if (!other.is_leader && known != machines_.end() &&
+      if (!other.leadership.is_leader && known != machines_.end() &&
           (known->second.reported_silent_since != 0 || known->second.failed)) {
         continue;
       }
       auto since = free_since_.find(name);
-      if (!other.is_leader && (since == free_since_.end() || now - since->second < after)) continue;
-      if (other.is_leader) {
+      if (!other.leadership.is_leader &&
+          (since == free_since_.end() || now - since->second < after))
+        continue;
+      if (other.leadership.is_leader) {
         auto info = machines_.find(name);
         if (info == machines_.end() || !Usable(now, m, info->second)) continue;
       }
@@ -91,19 +94,20 @@
 
 // Takes one free machine of another shard for a task that has no room here.
 bool Core::PlanAcquisition(Micros now, int shard_id, Plan* plan, const JobSpec& spec) {
-  if (now < shards_[static_cast<size_t>(shard_id)].acquire_after) return false;
+  if (now < shards_[static_cast<size_t>(shard_id)].cycle.acquire_after) return false;
   if (!plan->acquirable_known) FindAcquirable(now, shard_id, plan);
   for (auto it = plan->acquirable.begin(); it != plan->acquirable.end(); ++it) {
     const auto& [other_id, name] = *it;
     const Shard& other = shards_[static_cast<size_t>(other_id)];
     // A shard that is busy committing would only make this commit fail.
-    if (now - other.changed_at < 60 * kMilli && spec.priority != Priority::kProduction) continue;
+    if (now - other.replica.changed_at < 60 * kMilli && spec.priority != Priority::kProduction)
+      continue;
     // One other shard in a commit, or it outgrows the transaction.
     if (!plan->others.empty() && plan->others.count(other_id) == 0) continue;
-    const AssignedMachine& m = other.assignments.machines.at(name);
+    const AssignedMachine& m = other.replica.assignments.machines.at(name);
     const MachineType* type = TypeOf(m.type);
     if (type == nullptr || !spec.each.Fits(type->size) || !plan->MayChange(name)) continue;
-    if (!plan->MayChangeOther(other_id, other.assignments, name)) continue;
+    if (!plan->MayChangeOther(other_id, other.replica.assignments, name)) continue;
     PlaceMachine machine = EmptyMachine(now, m);
     machine.usable = true;
     if (!Allowed(spec, plan->SpreadOf(spec), machine)) continue;
@@ -112,7 +116,7 @@
       int64_t steady_free = 0;
       for (const auto& [from, n] : plan->acquirable) {
         if (from != other_id) continue;
-        const AssignedMachine& o = other.assignments.machines.at(n);
+        const AssignedMachine& o = other.replica.assignments.machines.at(n);
         const MachineType* t = TypeOf(o.type);
         if (!o.spot && t != nullptr) steady_free += t->size.cpus;
       }
@@ -121,12 +125,13 @@
         continue;
       }
     }
-    AssignmentTable& changed = plan->others.try_emplace(other_id, other.assignments).first->second;
+    AssignmentTable& changed =
+        plan->others.try_emplace(other_id, other.replica.assignments).first->second;
     changed.machines.erase(name);
     plan->assignments.machines[name] = m;
     plan->machines.push_back(std::move(machine));
     plan->index.Add(&plan->machines.back());
-    plan->ChangeOther(other_id, other.assignments, name);
+    plan->ChangeOther(other_id, other.replica.assignments, name);
     plan->Change(name);
     plan->urgent = true;
     plan->acquirable.erase(it);
@@ -138,7 +143,7 @@
 // Moves unused shares of a team's limit here.
 bool Core::PlanQuotaTransfer(Micros now, int shard_id, Plan* plan, const Team& team,
                              const Share& want) {
-  if (now < shards_[static_cast<size_t>(shard_id)].acquire_after) return false;
+  if (now < shards_[static_cast<size_t>(shard_id)].cycle.acquire_after) return false;
   Share own = ShareOf(plan->assignments, team, shard_id, settings_.shard_count());
   Share missing = want;
   const Share used = plan->use.teams[team.name];
@@ -148,18 +153,20 @@
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     if (other_id == shard_id || (missing.cpus <= 0 && missing.gpus <= 0)) continue;
     const Shard& other = shards_[static_cast<size_t>(other_id)];
-    if (!MayChangeTable(other) || other.committing) continue;
-    if (!plan->MayChangeOther(other_id, other.assignments, "")) continue;
+    if (!MayChangeTable(other) || other.cycle.committing) continue;
+    if (!plan->MayChangeOther(other_id, other.replica.assignments, "")) continue;
     if (!plan->others.empty() && plan->others.count(other_id) == 0) continue;
     const AssignmentTable& theirs =
-        plan->others.count(other_id) != 0 ? plan->others.at(other_id) : other.assignments;
+        plan->others.count(other_id) != 0 ? plan->others.at(other_id) : other.replica.assignments;
     Share share = ShareOf(theirs, team, other_id, settings_.shard_count());
-    auto theirs_used = other.use.teams.find(team.name);
-    Share move = Movable(
-        share, theirs_used == other.use.teams.end() ? Share() : theirs_used->second, missing);
+    auto theirs_used = other.replica.use.teams.find(team.name);
+    Share move =
+        Movable(share, theirs_used == other.replica.use.teams.end() ? Share() : theirs_used->second,
+                missing);
     if (move.cpus <= 0 && move.gpus <= 0) continue;
-    AssignmentTable& changed = plan->others.try_emplace(other_id, other.assignments).first->second;
-    plan->ChangeOther(other_id, other.assignments, "");
+    AssignmentTable& changed =
+        plan->others.try_emplace(other_id, other.replica.assignments).first->second;
+    plan->ChangeOther(other_id, other.replica.assignments, "");
     changed.shares[team.name] = {share.cpus - move.cpus, share.gpus - move.gpus};
     own.cpus += move.cpus;
     own.gpus += move.gpus;
--- a/src/core/waiting.cc
+++ b/src/core/scheduler/waiting.cc
@@ -3,9 +3,9 @@
 #include <tuple>
 
 #include "core/core.h"
-#include "core/order.h"
-#include "core/plan.h"
-#include "core/quota.h"
+#include "core/scheduler/order.h"
+#include "core/scheduler/plan.h"
+#include "core/scheduler/quota.h"
 
 namespace troutlink {
 
@@ -48,7 +48,7 @@
   std::map<std::string, Share> everywhere = plan.use.teams;  // over all shards
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     if (other_id == shard_id) continue;
-    for (const auto& [team, use] : shards_[static_cast<size_t>(other_id)].use.teams) {
+    for (const auto& [team, use] : shards_[static_cast<size_t>(other_id)].replica.use.teams) {
       everywhere[team].cpus += use.cpus;
       everywhere[team].gpus += use.gpus;
     }
@@ -103,13 +103,13 @@
 // The recent peak of array work fades within a minute, and to nothing: a share of it that
 // only dwindled would keep a last machine for long.
 void Core::NoteArrayPeak(Micros now, Shard* shard, double array_cpus) {
-  const double age = ToSeconds(now - shard->peak_at);
-  double faded = shard->peak * std::max(0.0, 1.0 - age / kPeakFades);
+  const double age = ToSeconds(now - shard->cycle.peak_at);
+  double faded = shard->cycle.peak * std::max(0.0, 1.0 - age / kPeakFades);
   if (array_cpus >= faded) {
-    shard->peak = faded = array_cpus;
-    shard->peak_at = now;
+    shard->cycle.peak = faded = array_cpus;
+    shard->cycle.peak_at = now;
   }
-  shard->array_peak = faded;
+  shard->cycle.array_peak = faded;
 }
 
 // What each team's limit leaves to its arrays in this shard, in cpus; teams without a limit
--- a/src/core/cluster_version.cc
+++ b/src/core/store/cluster_version.cc
@@ -25,16 +25,17 @@
   txn.conditions.push_back({key, own.revision});
   txn.writes.push_back({key, EncodeNodeVersion(kStoredFormVersion), 0, false});
   ++counters_.puts;
-  Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kPublishTimeout,
-       [this, write = txn.writes[0]](Micros answered, int status, const std::string& body) {
-         publishing_version_ = false;
-         publish_version_after_ = answered + kPublishPause;
-         std::optional<wire::TxnReply> reply;
-         if (status == 200) reply = wire::DecodeTxnReply(body);
-         if (!reply) return;
-         state_ok_ = answered;
-         ApplyPut(answered, write.key, write.value, reply->revision);
-       });
+  effects_.Send(
+      Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kPublishTimeout,
+      [this, write = txn.writes[0]](Micros answered, int status, const std::string& body) {
+        publishing_version_ = false;
+        publish_version_after_ = answered + kPublishPause;
+        std::optional<wire::TxnReply> reply;
+        if (status == 200) reply = wire::DecodeTxnReply(body);
+        if (!reply) return;
+        state_ok_ = answered;
+        ApplyPut(answered, write.key, write.value, reply->revision);
+      });
 }
 
 // Whether a shard's leadership record is still of a process of this node before this one. That
@@ -42,8 +43,9 @@
 // record: they do not write a table's header, which commits of version 2 rely on.
 bool Core::HoldsEarlierLeadership() const {
   for (const Shard& shard : shards_) {
-    if (shard.leadership_version != 0 && shard.leadership.leader == settings_.label &&
-        shard.leadership.boot != boot_) {
+    if (shard.replica.leadership_version != 0 &&
+        shard.replica.leadership_record.leader == settings_.label &&
+        shard.replica.leadership_record.boot != boot_) {
       return true;
     }
   }
@@ -61,11 +63,11 @@
   }
   all_nodes_current_ = true;
   const StateLimits& limits = Limits();
-  Log(LogLine::Level::kInfo,
-      "cluster version " + std::to_string(kStoredFormVersion) +
-          "; limits of the state service: " + std::to_string(limits.value_bytes) + " bytes, " +
-          std::to_string(limits.txn_ops) + " changes a transaction, " +
-          std::to_string(static_cast<int>(limits.write_rps)) + " changes a second");
+  effects_.Log(LogLine::Level::kInfo,
+               "cluster version " + std::to_string(kStoredFormVersion) +
+                   "; limits of the state service: " + std::to_string(limits.value_bytes) +
+                   " bytes, " + std::to_string(limits.txn_ops) + " changes a transaction, " +
+                   std::to_string(static_cast<int>(limits.write_rps)) + " changes a second");
 }
 
 // The announced limits hold from the moment at which all nodes can keep to them, as they come
--- a/src/core/dependencies.cc
+++ b/src/core/store/dependencies.cc
@@ -1,4 +1,4 @@
-#include "core/dependencies.h"
+#include "core/store/dependencies.h"
 
 #include <algorithm>
 #include <deque>
--- a/src/core/dependencies.h
+++ b/src/core/store/dependencies.h
@@ -1,6 +1,6 @@
 // Which open jobs depend on which others, and how urgent that makes them.
-#ifndef TROUTLINK_CORE_DEPENDENCIES_H_
-#define TROUTLINK_CORE_DEPENDENCIES_H_
+#ifndef TROUTLINK_CORE_STORE_DEPENDENCIES_H_
+#define TROUTLINK_CORE_STORE_DEPENDENCIES_H_
 
 #include <limits>
 #include <map>
@@ -70,4 +70,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_DEPENDENCIES_H_
+#endif  // TROUTLINK_CORE_STORE_DEPENDENCIES_H_
--- a/src/core/job_fate.cc
+++ b/src/core/store/job_fate.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/event.h"
+#include "core/io/event.h"
 
 namespace troutlink {
 
@@ -22,23 +22,23 @@
 
 void Core::NoteViolation(Violation violation, const std::string& known) {
   violations_.Add(violation);
-  Log(LogLine::Level::kError,
-      Event("invariant_violated").With("kind", NameOf(violation)).text() + " " + known);
+  effects_.Log(LogLine::Level::kError,
+               Event("invariant_violated").With("kind", NameOf(violation)).text() + " " + known);
 }
 
 // `source`: how it was learnt.
 void Core::LogCancellation(Micros now, const std::string& id, std::string_view source) {
-  if (!log_details_) return;
-  Log(LogLine::Level::kDebug, Event("cancellation")
-                                  .With("job", id)
-                                  .With("source", source)
-                                  .With("revision", feed_.revision())
-                                  .WithSpan("replica_age_ms", now - feed_.complete_up_to())
-                                  .text());
+  if (!effects_.logs_debug()) return;
+  effects_.Log(LogLine::Level::kDebug, Event("cancellation")
+                                           .With("job", id)
+                                           .With("source", source)
+                                           .With("revision", feed_.revision())
+                                           .WithSpan("replica_age_ms", now - feed_.complete_up_to())
+                                           .text());
 }
 
 bool Core::IsAssigned(int shard_id, const std::string& machine, const Attempt& attempt) const {
-  const auto& machines = ShardAt(shard_id).assignments.machines;
+  const auto& machines = ShardAt(shard_id).replica.assignments.machines;
   auto found = machines.find(machine);
   if (found == machines.end()) return false;
   const std::vector<Attempt>& attempts = found->second.attempts;
@@ -48,7 +48,7 @@
 std::optional<StartPermit> Core::JudgeStart(Micros now, int shard_id, const std::string& machine,
                                             const Attempt& attempt) {
   StartFacts facts;
-  facts.is_leader = ShardAt(shard_id).is_leader;
+  facts.is_leader = ShardAt(shard_id).leadership.is_leader;
   facts.assigned = IsAssigned(shard_id, machine, attempt);
   facts.stood_still = StoodStill(now);
   facts.fate = FateOf(attempt.job);
@@ -57,7 +57,7 @@
   const Result<StartPermit, Refusal> judged = facts.Judge();
   const std::optional<Violation> violation =
       judged ? std::nullopt : ViolationOf(judged.error().code);
-  if (!violation && !log_details_) {
+  if (!violation && !effects_.logs_debug()) {
     if (judged) return *judged;
     refusals_.Add(judged.error().code);
     return std::nullopt;
@@ -68,14 +68,14 @@
                                 .With("attempt", attempt.number)
                                 .With("machine", machine)
                                 .With("shard", shard_id)
-                                .With("epoch", ShardAt(shard_id).epoch)
+                                .With("epoch", ShardAt(shard_id).leadership.epoch)
                                 .With("revision", feed_.revision())
                                 .WithSpan("replica_age_ms", now - feed_.complete_up_to())
                                 .WithSpan("bound_ms", facts.cancellations_bound - now)
                                 .With("refused", judged ? "no" : judged.error().text)
                                 .text();
   if (violation) NoteViolation(*violation, known);
-  Log(LogLine::Level::kDebug, known);
+  effects_.Log(LogLine::Level::kDebug, known);
   if (judged) return *judged;
   refusals_.Add(judged.error().code);
   return std::nullopt;
@@ -113,14 +113,14 @@
                                                       .text());
     orders.push_back({Command::Op::kStop, task.job, task.task, task.attempt, 0});
   }
-  if (log_details_) {
-    Log(LogLine::Level::kDebug, Event("renewal")
-                                    .With("machine", report.machine)
-                                    .With("session", report.session)
-                                    .With("token", token)
-                                    .With("tasks", report.tasks.size())
-                                    .With("orders", orders.size())
-                                    .text());
+  if (effects_.logs_debug()) {
+    effects_.Log(LogLine::Level::kDebug, Event("renewal")
+                                             .With("machine", report.machine)
+                                             .With("session", report.session)
+                                             .With("token", token)
+                                             .With("tasks", report.tasks.size())
+                                             .With("orders", orders.size())
+                                             .text());
   }
   AnswerReport(source, 200, wire::EncodeReportReply(token, orders));
 }
--- a/src/core/machine_codec.cc
+++ b/src/core/store/machine_codec.cc
@@ -1,4 +1,4 @@
-#include "core/machine_codec.h"
+#include "core/store/machine_codec.h"
 
 #include <algorithm>
 #include <map>
--- a/src/core/machine_codec.h
+++ b/src/core/store/machine_codec.h
@@ -1,12 +1,12 @@
 // The machines of one chunk of an assignment table as one text of varints, in each form.
-#ifndef TROUTLINK_CORE_MACHINE_CODEC_H_
-#define TROUTLINK_CORE_MACHINE_CODEC_H_
+#ifndef TROUTLINK_CORE_STORE_MACHINE_CODEC_H_
+#define TROUTLINK_CORE_STORE_MACHINE_CODEC_H_
 
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "core/records.h"
+#include "core/store/records.h"
 
 namespace troutlink {
 
@@ -22,4 +22,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_MACHINE_CODEC_H_
+#endif  // TROUTLINK_CORE_STORE_MACHINE_CODEC_H_
--- a/src/core/pipelines.cc
+++ b/src/core/store/pipelines.cc
@@ -55,7 +55,7 @@
     if (orphans_.insert(dependent).second) ++counters_.orphans;
   }
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
-    if (ShardAt(shard_id).is_leader) MarkDirty(shard_id);
+    if (ShardAt(shard_id).leadership.is_leader) MarkDirty(shard_id);
   }
 }
 
--- a/src/core/records.cc
+++ b/src/core/store/records.cc
@@ -1,4 +1,4 @@
-#include "core/records.h"
+#include "core/store/records.h"
 
 #include <algorithm>
 #include <bit>
@@ -6,7 +6,7 @@
 
 #include "base/digits.h"
 #include "base/ids.h"
-#include "core/machine_codec.h"
+#include "core/store/machine_codec.h"
 #include "wire/messages.h"
 #include "wire/pack.h"
 
--- a/src/core/records.h
+++ b/src/core/store/records.h
@@ -1,6 +1,6 @@
 // What the service keeps in the state service, and under which keys.
-#ifndef TROUTLINK_CORE_RECORDS_H_
-#define TROUTLINK_CORE_RECORDS_H_
+#ifndef TROUTLINK_CORE_STORE_RECORDS_H_
+#define TROUTLINK_CORE_STORE_RECORDS_H_
 
 #include <cstdint>
 #include <map>
@@ -152,4 +152,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_RECORDS_H_
+#endif  // TROUTLINK_CORE_STORE_RECORDS_H_
--- a/src/core/replica.cc
+++ b/src/core/store/replica.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "core/core.h"
-#include "core/event.h"
+#include "core/io/event.h"
 
 namespace troutlink {
 
@@ -22,10 +22,10 @@
 }
 
 void Core::ReadListPage(const std::string& after) {
-  Send(Dest::kState, "", "GET", wire::ListTarget(kRoot, after, kListLimit), "", kListTimeout,
-       [this](Micros answered, int status, const std::string& body) {
-         OnListPage(answered, status, body);
-       });
+  effects_.Send(Dest::kState, "", "GET", wire::ListTarget(kRoot, after, kListLimit), "",
+                kListTimeout, [this](Micros answered, int status, const std::string& body) {
+                  OnListPage(answered, status, body);
+                });
 }
 
 void Core::OnListPage(Micros now, int status, const std::string& body) {
@@ -54,12 +54,12 @@
   ReindexShards(now);
   feed_.ListFinished(now);
   ++counters_.lists;
-  Log(LogLine::Level::kInfo, Event("replica_listed")
-                                 .With("revision", feed_.revision())
-                                 .WithSpan("age_ms", now - feed_.complete_up_to())
-                                 .With("open_jobs", open_jobs_.size())
-                                 .With("jobs", jobs_.size())
-                                 .text());
+  effects_.Log(LogLine::Level::kInfo, Event("replica_listed")
+                                          .With("revision", feed_.revision())
+                                          .WithSpan("age_ms", now - feed_.complete_up_to())
+                                          .With("open_jobs", open_jobs_.size())
+                                          .With("jobs", jobs_.size())
+                                          .text());
   cancellations_.ReplicaCompleteUpTo(feed_.complete_up_to());
   StartWatch(now);
 }
@@ -71,11 +71,11 @@
   };
   for (const auto& [id, entry] : jobs_) check(JobKey(id), entry.version);
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
-    const uint64_t version = ShardAt(shard_id).leadership_version;
+    const uint64_t version = ShardAt(shard_id).replica.leadership_version;
     if (version != 0) check(LeadershipKey(shard_id), version);
   }
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
-    for (const auto& [index, chunk] : ShardAt(shard_id).original_chunks) {
+    for (const auto& [index, chunk] : ShardAt(shard_id).replica.original_chunks) {
       check(AssignmentKey(shard_id, index), chunk.version);
     }
   }
@@ -84,16 +84,17 @@
 
 void Core::StartWatch(Micros now) {
   feed_.WatchStarted();
-  Send(Dest::kWatch, "", "GET", wire::WatchTarget(kRoot, feed_.revision(), kWatchHold), "",
-       kWatchHold + 1500 * kMilli,
-       [this, sent = now](Micros answered, int status, const std::string& body) {
-         OnWatchAnswered(answered, sent, status, body);
-       });
+  effects_.Send(Dest::kWatch, "", "GET", wire::WatchTarget(kRoot, feed_.revision(), kWatchHold), "",
+                kWatchHold + 1500 * kMilli,
+                [this, sent = now](Micros answered, int status, const std::string& body) {
+                  OnWatchAnswered(answered, sent, status, body);
+                });
 }
 
 void Core::OnWatchAnswered(Micros now, Micros sent, int status, const std::string& body) {
   if (status == 410) {
-    Log(LogLine::Level::kInfo, Event("watch_too_old").With("revision", feed_.revision()).text());
+    effects_.Log(LogLine::Level::kInfo,
+                 Event("watch_too_old").With("revision", feed_.revision()).text());
     feed_.WatchTooOld(now);
     return;
   }
@@ -167,7 +168,7 @@
   if (known != jobs_.end() && known->second.version >= version) return;
   std::optional<JobRecord> record = DecodeJob(value);
   if (!record) {
-    Log(LogLine::Level::kError, "unreadable job record " + JobKey(id));
+    effects_.Log(LogLine::Level::kError, "unreadable job record " + JobKey(id));
     return;
   }
   JobEntry& entry = jobs_[id];
@@ -190,7 +191,8 @@
 }
 
 bool Core::LeadsShard(int shard_id) const {
-  return shard_id >= 0 && shard_id < settings_.shard_count() && ShardAt(shard_id).is_leader;
+  return shard_id >= 0 && shard_id < settings_.shard_count() &&
+         ShardAt(shard_id).leadership.is_leader;
 }
 
 void Core::ApplyOpenJob(const std::string& id, const JobEntry& entry) {
@@ -213,12 +215,13 @@
   cancellations_.ForgetReported(id);
   auto run = runs_.find(id);
   if (run != runs_.end()) {
-    ShardAt(run->second.shard_id).progress_dirty = true;
+    ShardAt(run->second.shard_id).cycle.progress_dirty = true;
     runs_.erase(run);
   }
   health_.ForgetJob(id);
   const int shard_id = entry->record.shard_id;
-  if (shard_id >= 0 && shard_id < settings_.shard_count()) ShardAt(shard_id).progress.erase(id);
+  if (shard_id >= 0 && shard_id < settings_.shard_count())
+    ShardAt(shard_id).replica.progress.erase(id);
   if (LeadsShard(shard_id)) {
     StopJob(now, id);
     MarkDirty(shard_id);
@@ -228,20 +231,20 @@
 
 void Core::ApplyLeadership(Micros now, int shard_id, const std::string& value, uint64_t version) {
   Shard& shard = ShardAt(shard_id);
-  if (shard.leadership_version >= version) return;
+  if (shard.replica.leadership_version >= version) return;
   std::optional<Leadership> leadership = DecodeLeadership(value);
   if (!leadership) return;
-  shard.leadership_version = version;
-  shard.leadership = *leadership;
-  shard.leaderless_since = 0;
-  shard.election_conflicts = 0;
+  shard.replica.leadership_version = version;
+  shard.replica.leadership_record = *leadership;
+  shard.leadership.leaderless_since = 0;
+  shard.leadership.election_conflicts = 0;
   if (leadership->leader == settings_.label && leadership->boot == boot_) return;
-  shard.previous_leader = leadership->leader;
-  if (version > shard.rival_epoch) {
-    shard.rival_epoch = version;
-    shard.rival_leader = leadership->leader;
+  shard.leadership.previous_leader = leadership->leader;
+  if (version > shard.leadership.rival_epoch) {
+    shard.leadership.rival_epoch = version;
+    shard.leadership.rival_leader = leadership->leader;
   }
-  if (shard.is_leader && version > shard.epoch) {
+  if (shard.leadership.is_leader && version > shard.leadership.epoch) {
     LoseLeadership(now, shard_id, "another leader was elected");
   }
 }
@@ -249,14 +252,14 @@
 // What was done once stays done: pages of any age add up, however they divide the jobs.
 void Core::ApplyProgress(int shard_id, int page, const std::string& value, uint64_t version) {
   Shard& shard = ShardAt(shard_id);
-  uint64_t& known = shard.progress_versions[page];
+  uint64_t& known = shard.replica.progress_versions[page];
   if (known >= version) return;
   std::optional<Progress> progress = DecodeProgress(value);
   if (!progress) return;
   known = version;
-  shard.progress_values[page] = value;
+  shard.replica.progress_values[page] = value;
   for (auto& [id, tasks] : *progress) {
-    if (open_jobs_.count(id) != 0) shard.progress[id].merge(tasks);
+    if (open_jobs_.count(id) != 0) shard.replica.progress[id].merge(tasks);
   }
 }
 
@@ -270,19 +273,19 @@
   const Key key = ParseKey(name);
   if (key.kind == Key::Kind::kLeadership && key.shard_id < settings_.shard_count()) {
     Shard& shard = ShardAt(key.shard_id);
-    if (shard.leadership_version > version) return;
-    shard.leadership_version = 0;
-    shard.leaderless_since = now;
+    if (shard.replica.leadership_version > version) return;
+    shard.replica.leadership_version = 0;
+    shard.leadership.leaderless_since = now;
     // An ended leadership names nobody.
-    if (shard.rival_epoch <= version) shard.rival_leader.clear();
-    if (shard.is_leader) LoseLeadership(now, key.shard_id, "leadership expired");
+    if (shard.leadership.rival_epoch <= version) shard.leadership.rival_leader.clear();
+    if (shard.leadership.is_leader) LoseLeadership(now, key.shard_id, "leadership expired");
   } else if (key.kind == Key::Kind::kAssignments && key.form == TableForm::kOriginal &&
              key.shard_id < settings_.shard_count()) {
     // Chunks are erased only once the compact form has all of their machines.
-    ShardAt(key.shard_id).original_chunks.erase(key.chunk);
+    ShardAt(key.shard_id).replica.original_chunks.erase(key.chunk);
   } else if (key.kind == Key::Kind::kJob) {
     // Job records are never deleted by the service.
-    Log(LogLine::Level::kError, "job record deleted: " + name);
+    effects_.Log(LogLine::Level::kError, "job record deleted: " + name);
   }
 }
 
--- a/src/core/replica_feed.cc
+++ b/src/core/store/replica_feed.cc
@@ -1,4 +1,4 @@
-#include "core/replica_feed.h"
+#include "core/store/replica_feed.h"
 
 #include <algorithm>
 
--- a/src/core/replica_feed.h
+++ b/src/core/store/replica_feed.h
@@ -1,6 +1,6 @@
 // How far the replica of the state service has been read, and what is read next.
-#ifndef TROUTLINK_CORE_REPLICA_FEED_H_
-#define TROUTLINK_CORE_REPLICA_FEED_H_
+#ifndef TROUTLINK_CORE_STORE_REPLICA_FEED_H_
+#define TROUTLINK_CORE_STORE_REPLICA_FEED_H_
 
 #include <cstdint>
 #include <optional>
@@ -67,4 +67,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_REPLICA_FEED_H_
+#endif  // TROUTLINK_CORE_STORE_REPLICA_FEED_H_
--- a/src/core/table_replica.cc
+++ b/src/core/store/table_replica.cc
@@ -17,24 +17,24 @@
   Shard& shard = ShardAt(key.shard_id);
   if (key.form == TableForm::kCompact) {
     BeginCompactForm(&shard);
-  } else if (shard.assignments.form == TableForm::kCompact) {
+  } else if (shard.replica.assignments.form == TableForm::kCompact) {
     ApplyOriginalChunk(now, key, value, version);
     return;
   }
-  Chunk& chunk = shard.chunks[key.chunk];
+  Chunk& chunk = shard.replica.chunks[key.chunk];
   if (chunk.version >= version) return;
   chunk.version = version;
   chunk.bytes = value.size();
   AssignmentTable next;
   next.form = key.form;
   if (!DecodeChunk(value, key.chunk, &next)) {
-    Log(LogLine::Level::kError,
-        "unreadable assignment table of shard " + std::to_string(key.shard_id));
+    effects_.Log(LogLine::Level::kError,
+                 "unreadable assignment table of shard " + std::to_string(key.shard_id));
     return;
   }
   for (const std::string& name : chunk.names) {
-    auto chunk_of = shard.chunk_of.find(name);
-    if (chunk_of != shard.chunk_of.end() && chunk_of->second == key.chunk &&
+    auto chunk_of = shard.replica.chunk_of.find(name);
+    if (chunk_of != shard.replica.chunk_of.end() && chunk_of->second == key.chunk &&
         next.machines.count(name) == 0) {
       RemoveMachine(now, key.shard_id, name);
     }
@@ -42,16 +42,16 @@
   chunk.names.clear();
   for (auto& [name, machine] : next.machines) {
     chunk.names.push_back(name);
-    shard.chunk_of[name] = key.chunk;
+    shard.replica.chunk_of[name] = key.chunk;
     PutMachine(now, key.shard_id, std::move(machine));
   }
   if (key.chunk == 0) ApplyHeader(now, key.shard_id, std::move(next));
-  shard.changed_at = now;
-  shard.sync_due = true;
+  shard.replica.changed_at = now;
+  shard.replica.sync_due = true;
 }
 
 void Core::ApplyHeader(Micros now, int shard_id, AssignmentTable header) {
-  AssignmentTable& table = ShardAt(shard_id).assignments;
+  AssignmentTable& table = ShardAt(shard_id).replica.assignments;
   table.chunks = header.chunks;
   table.unmigrated_from = header.unmigrated_from;
   table.next_number = header.next_number;
@@ -62,54 +62,55 @@
 }
 
 void Core::BeginCompactForm(Shard* shard) {
-  if (shard->assignments.form == TableForm::kCompact) return;
-  shard->assignments.form = TableForm::kCompact;
-  shard->original_chunks = std::exchange(shard->chunks, {});
-  shard->original_machines = shard->assignments.machines;
-  for (auto& [name, chunk] : shard->chunk_of) chunk = kOriginalChunk;
+  if (shard->replica.assignments.form == TableForm::kCompact) return;
+  shard->replica.assignments.form = TableForm::kCompact;
+  shard->replica.original_chunks = std::exchange(shard->replica.chunks, {});
+  shard->replica.original_machines = shard->replica.assignments.machines;
+  for (auto& [name, chunk] : shard->replica.chunk_of) chunk = kOriginalChunk;
 }
 
 // A list that is read page by page may show a chunk as it was before the compact form began.
 void Core::ApplyOriginalChunk(Micros now, const Key& key, const std::string& value,
                               uint64_t version) {
   Shard& shard = ShardAt(key.shard_id);
-  Chunk& chunk = shard.original_chunks[key.chunk];
+  Chunk& chunk = shard.replica.original_chunks[key.chunk];
   if (chunk.version >= version) return;
   chunk.version = version;
   AssignmentTable next;
   if (!DecodeChunk(value, key.chunk, &next)) return;
   for (const std::string& name : chunk.names) {
     if (next.machines.count(name) != 0) continue;
-    shard.original_machines.erase(name);
-    auto chunk_of = shard.chunk_of.find(name);
-    if (chunk_of != shard.chunk_of.end() && chunk_of->second == kOriginalChunk) {
+    shard.replica.original_machines.erase(name);
+    auto chunk_of = shard.replica.chunk_of.find(name);
+    if (chunk_of != shard.replica.chunk_of.end() && chunk_of->second == kOriginalChunk) {
       RemoveMachine(now, key.shard_id, name);
     }
   }
   chunk.names.clear();
-  const AssignmentTable& table = shard.assignments;
+  const AssignmentTable& table = shard.replica.assignments;
   for (auto& [name, machine] : next.machines) {
     chunk.names.push_back(name);
     if (!table.Migrating() || table.ChunkOfMachine(name) < table.unmigrated_from) continue;
-    shard.original_machines[name] = machine;
-    shard.chunk_of[name] = kOriginalChunk;
+    shard.replica.original_machines[name] = machine;
+    shard.replica.chunk_of[name] = kOriginalChunk;
     PutMachine(now, key.shard_id, std::move(machine));
   }
-  shard.sync_due = true;
+  shard.replica.sync_due = true;
 }
 
 void Core::DropMigratedMachines(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
-  const AssignmentTable& table = shard.assignments;
-  for (auto it = shard.original_machines.begin(); it != shard.original_machines.end();) {
+  const AssignmentTable& table = shard.replica.assignments;
+  for (auto it = shard.replica.original_machines.begin();
+       it != shard.replica.original_machines.end();) {
     const std::string name = it->first;
     if (table.Migrating() && table.ChunkOfMachine(name) >= table.unmigrated_from) {
       ++it;
       continue;
     }
-    it = shard.original_machines.erase(it);
-    auto chunk_of = shard.chunk_of.find(name);
-    if (chunk_of != shard.chunk_of.end() && chunk_of->second == kOriginalChunk) {
+    it = shard.replica.original_machines.erase(it);
+    auto chunk_of = shard.replica.chunk_of.find(name);
+    if (chunk_of != shard.replica.chunk_of.end() && chunk_of->second == kOriginalChunk) {
       RemoveMachine(now, shard_id, name);
     }
   }
@@ -117,8 +118,8 @@
 
 void Core::RemoveMachine(Micros now, int shard_id, const std::string& name) {
   Shard& shard = ShardAt(shard_id);
-  shard.chunk_of.erase(name);
-  shard.assignments.machines.erase(name);
+  shard.replica.chunk_of.erase(name);
+  shard.replica.assignments.machines.erase(name);
   auto holder = machine_shard_.find(name);
   if (holder == machine_shard_.end() || holder->second != shard_id) return;
   machine_shard_.erase(holder);
@@ -139,7 +140,7 @@
   departed_.erase(name);
   unknown_.erase(name);
   stray_since_.erase(name);
-  if (!shard.is_leader) {
+  if (!shard.leadership.is_leader) {
     const bool free = machine.attempts.empty() && !machine.leaving && machine.helps.empty();
     if (free) {
       free_since_.try_emplace(name, now);
@@ -147,24 +148,24 @@
       free_since_.erase(name);
     }
   }
-  shard.assignments.machines[name] = std::move(machine);
+  shard.replica.assignments.machines[name] = std::move(machine);
 }
 
 void Core::ReindexShards(Micros now) {
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     Shard& shard = ShardAt(shard_id);
-    if (!shard.sync_due) continue;
-    shard.sync_due = false;
-    shard.use = UseOf(shard.assignments);
-    shard.machine_use.clear();
-    shard.attempts = 0;
-    shard.any_leaving = false;
-    for (const auto& [name, machine] : shard.assignments.machines) {
-      shard.machine_use.push_back(CountUse(machine));
-      shard.attempts += machine.attempts.size();
-      shard.any_leaving = shard.any_leaving || machine.leaving;
+    if (!shard.replica.sync_due) continue;
+    shard.replica.sync_due = false;
+    shard.replica.use = UseOf(shard.replica.assignments);
+    shard.replica.machine_use.clear();
+    shard.replica.attempts = 0;
+    shard.replica.any_leaving = false;
+    for (const auto& [name, machine] : shard.replica.assignments.machines) {
+      shard.replica.machine_use.push_back(CountUse(machine));
+      shard.replica.attempts += machine.attempts.size();
+      shard.replica.any_leaving = shard.replica.any_leaving || machine.leaving;
     }
-    if (shard.is_leader) SyncShard(now, shard_id);
+    if (shard.leadership.is_leader) SyncShard(now, shard_id);
   }
 }
 
--- a/src/runtime/client.h
+++ b/src/runtime/client.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "core/io.h"
+#include "core/io/io.h"
 #include "http/message.h"
 
 namespace troutlink::runtime {
--- a/src/runtime/server.h
+++ b/src/runtime/server.h
@@ -12,7 +12,7 @@
 #include <unordered_map>
 
 #include "config/settings.h"
-#include "core/io.h"
+#include "core/io/io.h"
 #include "http/message.h"
 
 namespace troutlink::runtime {
--- a/tests/cancellations_units_test.cc
+++ b/tests/cancellations_units_test.cc
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "core/cancellations.h"
-#include "core/replica_feed.h"
-#include "core/session_lease.h"
+#include "core/leadership/cancellations.h"
+#include "core/leadership/session_lease.h"
+#include "core/store/replica_feed.h"
 
 namespace troutlink {
 namespace {
--- a/tests/core_units_test.cc
+++ b/tests/core_units_test.cc
@@ -1,13 +1,14 @@
 // Units of src/core: formulas, order, placement, limits, budgets and records.
 #include <gtest/gtest.h>
 
-#include "core/budget.h"
-#include "core/health.h"
-#include "core/order.h"
-#include "core/placement.h"
-#include "core/quota.h"
-#include "core/records.h"
-#include "core/tail.h"
+#include "core/agents/health.h"
+#include "core/io/fair_turns.h"
+#include "core/io/token_bucket.h"
+#include "core/scheduler/order.h"
+#include "core/scheduler/placement.h"
+#include "core/scheduler/quota.h"
+#include "core/scheduler/tail.h"
+#include "core/store/records.h"
 
 namespace troutlink {
 namespace {
@@ -164,16 +165,16 @@
   EXPECT_EQ(Movable({10, 0}, {12, 0}, {9, 0}).cpus, 0);
 }
 
-TEST(Budget, LetsMoreThanItsBurstThroughAndWorksItOff) {
+TEST(TokenBucket, LetsMoreThanItsBurstThroughAndWorksItOff) {
   // A commit of more writes than the bucket holds once waited for ever.
-  Budget b(10, 15);
+  TokenBucket b(10, 15);
   EXPECT_TRUE(b.Take(kSecond, 20, 4));
   EXPECT_FALSE(b.Take(kSecond + 500 * kMilli, 1));
   EXPECT_TRUE(b.Take(3 * kSecond, 1));
 }
 
-TEST(Budget, QuestionsLeaveTheRestItsShare) {
-  Budget b(10, 5);
+TEST(TokenBucket, QuestionsLeaveTheRestItsShare) {
+  TokenBucket b(10, 5);
   EXPECT_TRUE(b.Has(kSecond, 5));
   b.Force(kSecond, 4);
   EXPECT_FALSE(b.Has(kSecond, 2));
@@ -186,10 +187,10 @@
   EXPECT_TRUE(b.Has(2 * kSecond, 50));
 }
 
-TEST(Budget, WhoWaitsForMuchGetsItsTurnBesideWhoTakesLittle) {
+TEST(TokenBucket, WhoWaitsForMuchGetsItsTurnBesideWhoTakesLittle) {
   // One node with two shards: one commits 2 writes at a time, the other 4.
-  Budget budget(15, 25);
-  Turns turns;
+  TokenBucket budget(15, 25);
+  FairTurns turns;
   int taken[2] = {0, 0};
   auto ask = [&](Micros now, int who, double n) {
     bool got = turns.MayTake(now, who);
--- a/tests/decision_digest.h
+++ b/tests/decision_digest.h
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "base/micros.h"
-#include "core/io.h"
+#include "core/io/io.h"
 
 namespace troutlink::test {
 
--- a/tests/dependencies_units_test.cc
+++ b/tests/dependencies_units_test.cc
@@ -1,7 +1,7 @@
 // Units of core/dependencies: the graph of jobs that depend on others.
 #include <gtest/gtest.h>
 
-#include "core/dependencies.h"
+#include "core/store/dependencies.h"
 
 namespace troutlink {
 namespace {
--- a/tests/fault_combinations_requests_test.cc
+++ b/tests/fault_combinations_requests_test.cc
@@ -79,7 +79,7 @@
   for (int i = 0; i < 30; ++i) Accept(w, 1, World::Array("job-" + std::to_string(100 + i), 2));
   w.Run(5 * kSecond);
   uint64_t before = 0, calls = 0;
-  for (size_t n = 0; n < 3; ++n) before += w.core(n).counters().state_calls;
+  for (size_t n = 0; n < 3; ++n) before += w.core(n).call_counts().state;
   int answered = 0, asked = 0;
   std::vector<std::shared_ptr<World::Answered>> answers;
   for (int i = 0; i < 2000; ++i) {
@@ -96,7 +96,7 @@
     answered += a->status == 200 ? 1 : 0;
     EXPECT_TRUE(a->status == 200 || (a->status == 503 && a->retry_after > 0)) << a->status;
   }
-  for (size_t n = 0; n < 3; ++n) calls += w.core(n).counters().state_calls;
+  for (size_t n = 0; n < 3; ++n) calls += w.core(n).call_counts().state;
   EXPECT_GT(answered * 10, asked * 9);
   // 12 s and more at 200 a second, and a burst.
   EXPECT_LT(calls - before, 200u * 14);
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -71,6 +71,12 @@
     for (size_t n = 0; n < 3; ++n) sum += alive(n) ? core(n).counters().*field : 0;
     return sum;
   }
+  // The same of the calls that were sent.
+  uint64_t SumCalls(uint64_t Effects::CallCounts::*field) {
+    uint64_t sum = 0;
+    for (size_t n = 0; n < 3; ++n) sum += alive(n) ? core(n).call_counts().*field : 0;
+    return sum;
+  }
 };
 
 TEST(LargeFleet, ManyCutAndBackAfterALeaseWithTheLeaderEndedMeanwhile) {
@@ -151,7 +157,7 @@
 
 TEST(LargeFleet, AThirdGoneForGoodIsReplacedInFewCalls) {
   BigFleet w(400);
-  const uint64_t calls = w.Sum(&Counters::cloud_calls), starts = w.Sum(&Counters::starts);
+  const uint64_t calls = w.SumCalls(&Effects::CallCounts::cloud), starts = w.Sum(&Counters::starts);
   int rented = w.cloud.rentals;
   const int gone = w.Some(3, [](FakeWorker* x) { x->silent = true; });
   EXPECT_TRUE(w.AllUp(w.settings.lease + 15 * kSecond));
@@ -162,7 +168,7 @@
   for (auto& [n, x] : w.workers) left += x->silent && !x->dead ? 1 : 0;
   EXPECT_EQ(left, 0);
   EXPECT_LE(w.cloud.rentals - rented, gone);
-  EXPECT_LT(w.Sum(&Counters::cloud_calls) - calls, 150u);
+  EXPECT_LT(w.SumCalls(&Effects::CallCounts::cloud) - calls, 150u);
   EXPECT_LT(w.Sum(&Counters::starts) - starts, 1400u);
   EXPECT_KEPT(w);
 }
@@ -292,8 +298,8 @@
   EXPECT_LT(w.Sum(&Counters::puts), 1100u);
   EXPECT_LT(w.Sum(&Counters::commits), 400u);
   EXPECT_LT(w.Sum(&Counters::rounds), 1500u);
-  EXPECT_LT(w.Sum(&Counters::cloud_calls), 250u);
-  EXPECT_LT(w.Sum(&Counters::worker_calls), 9000u);
+  EXPECT_LT(w.SumCalls(&Effects::CallCounts::cloud), 250u);
+  EXPECT_LT(w.SumCalls(&Effects::CallCounts::agent), 9000u);
   EXPECT_EQ(w.Sum(&Counters::oversized), 0u);
   EXPECT_LT(chunks, 30u);
   EXPECT_KEPT(w);
--- a/tests/offer_health_units_test.cc
+++ b/tests/offer_health_units_test.cc
@@ -1,7 +1,7 @@
 // Which kinds of machines come up, as OfferHealth remembers it.
 #include <gtest/gtest.h>
 
-#include "core/offer_health.h"
+#include "core/fleet/offer_health.h"
 
 namespace troutlink {
 namespace {
--- a/tests/permits_units_test.cc
+++ b/tests/permits_units_test.cc
@@ -1,7 +1,7 @@
 // Each permit and each reason of a refusal (src/core/permits.h).
 #include <gtest/gtest.h>
 
-#include "core/permits.h"
+#include "core/leadership/permits.h"
 
 namespace troutlink {
 namespace {
--- a/tests/rule_checker.h
+++ b/tests/rule_checker.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "core/records.h"
+#include "core/store/records.h"
 #include "fake_state.h"
 #include "fake_worker.h"
 #include "users.h"
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -5,7 +5,7 @@
 #include <filesystem>
 #include <sstream>
 
-#include "core/records.h"
+#include "core/store/records.h"
 #include "runtime/net.h"
 
 namespace troutlink::soak {
--- a/tests/stale_knowledge_test.cc
+++ b/tests/stale_knowledge_test.cc
@@ -4,7 +4,7 @@
 
 #include <variant>
 
-#include "core/records.h"
+#include "core/store/records.h"
 #include "test_support.h"
 #include "world.h"
 
