--- a/src/core/agents/reports.cc
+++ b/src/core/agents/reports.cc
@@ -16,7 +16,7 @@
 
 void Core::AnswerReport(const ReportSource& source, int status, std::string body) {
   if (source.peer.empty()) {
-    Answer(source.request, status, std::move(body));
+    effects_.SendReply({source.request, status, std::move(body), 0});
   } else {
     effects_.SendToPeer({source.peer, mesh::RelayReply{source.relay, static_cast<uint64_t>(status),
                                                        std::move(body)}});
@@ -111,14 +111,15 @@
 void Core::HandleRelayReply(const mesh::RelayReply& reply) {
   auto relay = relays_.find(reply.id);
   if (relay == relays_.end()) return;
-  Answer(relay->second.first, static_cast<int>(reply.status), reply.body);
+  effects_.SendReply({relay->second.first, static_cast<int>(reply.status), reply.body, 0});
   relays_.erase(relay);
 }
 
 void Core::EndStaleRelays(Micros now) {
   for (auto relay = relays_.begin(); relay != relays_.end();) {
     if (now - relay->second.second > kRelayPatience) {
-      Answer(relay->second.first, 503, wire::EncodeError("leader does not answer"));
+      effects_.SendReply(
+          {relay->second.first, 503, wire::EncodeError("leader does not answer"), 0});
       relay = relays_.erase(relay);
     } else {
       ++relay;
--- /dev/null
+++ b/src/core/api/http_status.h
@@ -0,0 +1,24 @@
+// The HTTP statuses that answers to users and calls of the state service have.
+#ifndef TROUTLINK_CORE_API_HTTP_STATUS_H_
+#define TROUTLINK_CORE_API_HTTP_STATUS_H_
+
+#include <cstdint>
+
+namespace troutlink::http_status {
+
+inline constexpr int kOk = 200;
+inline constexpr int kCreated = 201;
+inline constexpr int kBadRequest = 400;
+inline constexpr int kNotFound = 404;
+inline constexpr int kMethodNotAllowed = 405;
+inline constexpr int kConflict = 409;
+inline constexpr int kUnprocessable = 422;
+inline constexpr int kTooManyRequests = 429;
+inline constexpr int kServiceUnavailable = 503;
+
+// Whether the request may succeed later or at another controller: 429 and every 5xx.
+constexpr bool IsTemporary(uint64_t status) { return status >= kTooManyRequests; }
+
+}  // namespace troutlink::http_status
+
+#endif  // TROUTLINK_CORE_API_HTTP_STATUS_H_
--- /dev/null
+++ b/src/core/api/job_submissions.h
@@ -0,0 +1,77 @@
+// Users' API: submissions.
+#ifndef TROUTLINK_CORE_API_JOB_SUBMISSIONS_H_
+#define TROUTLINK_CORE_API_JOB_SUBMISSIONS_H_
+
+#include <cstdint>
+#include <string>
+
+#include "base/micros.h"
+#include "core/api/api_counters.h"
+#include "core/api/cluster_status.h"
+#include "core/api/commit_outcome.h"
+#include "core/api/job_admission.h"
+#include "core/api/job_directory.h"
+#include "core/api/job_queries.h"
+#include "core/api/job_record_store.h"
+#include "core/api/job_request.h"
+#include "core/api/responder.h"
+#include "core/api/shard_backlog.h"
+#include "core/api/shard_selector.h"
+#include "core/io/effects.h"
+#include "core/io/io.h"
+#include "wire/types.h"
+
+namespace troutlink {
+
+// Accepts jobs: a job is accepted once its record is committed. A repeat of a submission is
+// answered like a poll of its job.
+class JobSubmissions {
+ public:
+  // `max_record_bytes`: of a stored record, by any limit that is announced. All that it is given
+  // must outlive it.
+  JobSubmissions(int64_t max_record_bytes, Effects* effects, const JobDirectory* jobs,
+                 const ClusterStatus* status, const JobAdmission* admission, ShardBacklog* backlog,
+                 ShardSelector* selector, JobRecordStore* records, JobQueries* queries,
+                 Responder* responder, ApiCounters* counters)
+      : max_record_bytes_(max_record_bytes),
+        effects_(effects),
+        jobs_(jobs),
+        status_(status),
+        admission_(admission),
+        backlog_(backlog),
+        selector_(selector),
+        records_(records),
+        queries_(queries),
+        responder_(responder),
+        counters_(counters) {}
+
+  // A user submits the job in the request's body.
+  void Submit(Micros now, const Request& request);
+
+ private:
+  // Stores the job once all jobs that it depends on are known, reading those that the replica
+  // lacks.
+  void ResolveDependencies(Micros now, const JobRequest& request, JobSpec spec);
+  void ReadDependency(const std::string& id, const JobRequest& request, JobSpec spec);
+  void Store(Micros now, const JobRequest& request, JobSpec spec);
+  // `accepted`: the line of the log.
+  void OnStored(Micros now, const JobRequest& request, JobPhase phase, const std::string& accepted,
+                const CommitOutcome& outcome);
+  void Refuse(const JobRequest& request, const AdmissionError& error);
+
+  const int64_t max_record_bytes_;
+  Effects* const effects_;
+  const JobDirectory* const jobs_;
+  const ClusterStatus* const status_;
+  const JobAdmission* const admission_;
+  ShardBacklog* const backlog_;
+  ShardSelector* const selector_;
+  JobRecordStore* const records_;
+  JobQueries* const queries_;
+  Responder* const responder_;
+  ApiCounters* const counters_;
+};
+
+}  // namespace troutlink
+
+#endif  // TROUTLINK_CORE_API_JOB_SUBMISSIONS_H_
--- /dev/null
+++ b/src/core/api/shard_selector.cc
@@ -0,0 +1,137 @@
+#include "core/api/shard_selector.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+
+#include "base/ids.h"
+
+namespace troutlink {
+
+namespace {
+
+// A score is in thousandths of cpus. Tasks that can start at once count for more than any room
+// for later, and a leader for more than both.
+constexpr double kPlaceableWeight = 1e8;
+constexpr double kReadyWeight = 1e7;
+constexpr double kReadySoonShare = 0.2;  // of a task that is ready
+constexpr double kNoLeaderPenalty = 1e12;
+
+}  // namespace
+
+std::vector<ShardCapacity> ShardSelector::CapacitiesFor(const JobSpec& spec) {
+  std::vector<ShardCapacity> capacities(static_cast<size_t>(loads_->ShardCount()));
+  const std::vector<ShardBacklog::CpusByPriority>& backlog = backlog_->Cpus();
+  for (size_t i = 0; i < capacities.size(); ++i) {
+    const int shard_id = static_cast<int>(i);
+    ShardCapacity& capacity = capacities[i];
+    capacity.backlog_cpus = static_cast<double>(backlog[i][static_cast<size_t>(spec.priority)]);
+    Spreads spreads;
+    loads_->VisitMachines(
+        shard_id, [&](const MachineLoad& load) { AddMachine(spec, load, &capacity, &spreads); });
+    capacity.available_cpus = capacity.free_cpus - capacity.backlog_cpus;
+    if (spec.each.cpus > 0) {
+      capacity.placeable_tasks =
+          static_cast<int>(std::clamp(capacity.available_cpus / static_cast<double>(spec.each.cpus),
+                                      0.0, static_cast<double>(capacity.placeable_tasks)));
+    }
+    capacity.has_live_leader = loads_->HasLiveLeader(shard_id);
+  }
+  return capacities;
+}
+
+void ShardSelector::AddMachine(const JobSpec& spec, const MachineLoad& load,
+                               ShardCapacity* capacity, Spreads* spreads) const {
+  const AssignedMachine& machine = load.machine;
+  const MachineType* type = load.type;
+  if (type == nullptr || machine.leaving || !machine.helps.empty()) return;
+  if (!TypeAllowed(spec, machine.type, machine.spot)) return;
+  if (spec.each.Fits(type->size)) ++capacity->suitable_machines;
+  capacity->total_cpus +=
+      static_cast<double>(type->size.cpus - load.UsedAtLeast(Priority::kProduction).cpus);
+  // What it may push aside is room for critical work, and half of it for an array, which
+  // should rather go where nothing has to be stopped.
+  const bool critical = spec.priority == Priority::kProduction;
+  const bool preempts = critical || spec.kind == JobKind::kArray;
+  Amount left = type->size - (preempts ? load.UsedAtLeast(spec.priority) : load.used);
+  const int64_t unused = std::max<int64_t>(0, (type->size - load.used).cpus);
+  const int64_t available = std::max<int64_t>(0, left.cpus);
+  capacity->free_cpus += static_cast<double>(critical ? available : (unused + available) / 2);
+  if (machine.addr.empty()) return;  // still booting
+  if (!spec.each.Fits(left)) return;
+  PlaceMachine probe;
+  probe.type = machine.type;
+  probe.zone = machine.zone;
+  probe.spot = machine.spot;
+  if (spec.kind == JobKind::kService && capacity->ready_tasks < spec.tasks &&
+      HasImage(load, spec.image)) {
+    AddReadyTasks(spec, type->size - load.used, left, probe, capacity, &spreads->ready);
+  }
+  while (capacity->placeable_tasks < spec.tasks && spec.each.Fits(left) &&
+         Allowed(spec, spreads->placeable, probe)) {
+    left -= spec.each;
+    ++spreads->placeable.by_zone[machine.zone];
+    ++capacity->placeable_tasks;
+    if (spec.each.cpus <= 0) break;
+  }
+}
+
+bool ShardSelector::HasImage(const MachineLoad& load, const std::string& image) const {
+  return load.task_images.count(image) != 0 || loads_->CachesImage(load.machine.name, image);
+}
+
+void ShardSelector::AddReadyTasks(const JobSpec& spec, Amount unused, const Amount& left,
+                                  const PlaceMachine& probe, ShardCapacity* capacity,
+                                  JobSpread* spread) {
+  capacity->ready_soon_tasks += static_cast<int>(
+      std::min<int64_t>(spec.tasks, spec.each.cpus > 0 ? left.cpus / spec.each.cpus : 1));
+  while (capacity->ready_tasks < spec.tasks && spec.each.Fits(unused) && spec.each.cpus > 0 &&
+         Allowed(spec, *spread, probe)) {
+    unused -= spec.each;
+    ++spread->by_zone[probe.zone];
+    ++capacity->ready_tasks;
+  }
+}
+
+int ShardSelector::Choose(const JobSpec& spec) {
+  const std::vector<ShardCapacity> capacities = CapacitiesFor(spec);
+  double mean_cpus = 0;
+  for (const ShardCapacity& capacity : capacities) {
+    mean_cpus += capacity.total_cpus / static_cast<double>(capacities.size());
+  }
+  std::vector<double> scores;
+  scores.reserve(capacities.size());
+  for (const ShardCapacity& capacity : capacities) {
+    scores.push_back(ScoreOf(spec, capacity, mean_cpus));
+  }
+  // Where shards are alike, jobs are spread over them by their ids.
+  size_t best = StableHash(spec.id) % scores.size();
+  for (size_t shard_id = 0; shard_id < scores.size(); ++shard_id) {
+    if (scores[shard_id] > scores[best] + 1) best = shard_id;
+  }
+  return static_cast<int>(best);
+}
+
+double ShardSelector::ScoreOf(const JobSpec& spec, const ShardCapacity& capacity,
+                              double mean_cpus) {
+  double score = capacity.available_cpus;
+  // Where all are full, by how long it takes: a small shard works a queue off slowly.
+  if (capacity.available_cpus < 0 && capacity.total_cpus > 0) {
+    score *= mean_cpus / capacity.total_cpus;
+  }
+  if (spec.kind != JobKind::kArray) {
+    score += kPlaceableWeight * capacity.placeable_tasks / spec.tasks;
+  }
+  // A replica starts at once only where its image is.
+  if (spec.kind == JobKind::kService) {
+    score +=
+        kReadyWeight *
+        (capacity.ready_tasks + kReadySoonShare * std::min(capacity.ready_soon_tasks, spec.tasks)) /
+        spec.tasks;
+  }
+  // Nobody leads it at the moment: it would wait for a takeover.
+  if (!capacity.has_live_leader) score -= kNoLeaderPenalty;
+  return score;
+}
+
+}  // namespace troutlink
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -6,17 +6,22 @@
 #include <utility>
 
 #include "base/ids.h"
+#include "core/api/http_status.h"
+#include "core/api/retry_after.h"
+#include "core/user_api_view.h"
 
 namespace troutlink {
 
 namespace {
 constexpr double kShareOfLimits = 0.9;
 constexpr double kWriteBurst = 0.5;  // seconds
+// Ids of forwarded requests are above all ids of requests that arrive here.
+constexpr uint64_t kForwardIds = uint64_t{1} << 62;
+
+// A late answer to the process before this one must not be taken for an
+// answer to us: numbers begin where no earlier process is likely to have been.
+uint64_t FirstMessageId(uint64_t boot) { return (boot & 0xffffffffu) << 24; }
 
-bool IsAbort(const Request& request) {
-  std::optional<wire::JobPath> path = wire::ParseJobPath(request.target);
-  return path && path->abort;
-}
 }  // namespace
 
 Core::Core(const Settings& settings, uint64_t boot, Micros now, Micros wall)
@@ -34,12 +39,13 @@
       shards_(static_cast<size_t>(settings.shard_count())),
       session_lease_(FromSeconds(settings.op.claim_life_s())),
       cancellations_(settings.cancel, settings.lease),
+      user_api_view_(std::make_unique<UserApiView>(*this)),
+      user_api_(&settings_, kForwardIds | FirstMessageId(boot),
+                {&effects_, &write_budget_, &state_budget_}, user_api_view_.get(),
+                user_api_view_.get(), user_api_view_.get(), user_api_view_.get()),
       health_(static_cast<int>(settings.op.machine_failures()),
               static_cast<int>(settings.op.job_failures())) {
-  // A late answer to the process before this one must not be taken for an
-  // answer to us: numbers begin where no earlier process is likely to have been.
-  const uint64_t base = (boot_ & 0xffffffffu) << 24;
-  next_foreign_ = (uint64_t{1} << 62) | base;
+  const uint64_t base = FirstMessageId(boot_);
   next_relay_ = base;
   ping_seq_ = base;
   for (const Sibling& sibling : settings_.siblings) {
@@ -48,37 +54,9 @@
   }
 }
 
-void Core::Answer(uint64_t request, int status, std::string body, int retry_after_s) {
-  auto foreign = foreign_.find(request);
-  if (foreign != foreign_.end()) {
-    effects_.SendToPeer(
-        {foreign->second.first,
-         mesh::ForwardReply{foreign->second.second, static_cast<uint64_t>(status),
-                            static_cast<uint64_t>(retry_after_s), std::move(body)}});
-    foreign_.erase(foreign);
-    return;
-  }
-  auto open = open_.find(request);
-  if (open != open_.end()) {
-    const bool unsettled = status == 404 && IsAbort(open->second.request);
-    if (open->second.forward != 0 && unsettled) {
-      // The copy at a peer may still find the job that its user submits after a 404.
-      status = 503;
-      body = wire::EncodeError("no such job so far");
-      retry_after_s = 1;
-    }
-    if (status >= 429 && open->second.forward != 0) {
-      // A peer is still at work on it.
-      open->second.refused = true;
-      open->second.refusal = {request, status, std::move(body), retry_after_s};
-      return;
-    }
-    open_.erase(open);
-  }
-  effects_.SendReply({request, status, std::move(body), retry_after_s});
-}
+Core::~Core() = default;
 
-const Core::JobEntry* Core::FindJob(const std::string& id) const {
+const JobEntry* Core::FindJob(const std::string& id) const {
   auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
@@ -92,16 +70,19 @@
 
 // What every input may have made possible.
 void Core::After(Micros now) {
-  RunQueries(now);
+  user_api_.CheckQueued(now);
   if (feed_.synced()) RunRounds(now);
 }
 
 Outbox Core::HandleRequest(Micros now, const Request& request) {
   std::string_view target = request.target;
   target = target.substr(0, target.find('?'));
+  auto reply = [&](int status, std::string body, int retry_after_s = 0) {
+    effects_.SendReply({request.id, status, std::move(body), retry_after_s});
+  };
   auto only = [&](std::string_view method) {
     if (request.method == method) return true;
-    Answer(request.id, 405, wire::EncodeError("method not allowed"));
+    reply(http_status::kMethodNotAllowed, wire::EncodeError("method not allowed"));
     return false;
   };
   if (target == wire::kReportPath) {
@@ -109,25 +90,25 @@
   } else if (target == wire::kUpPath) {
     if (only("GET")) {
       if (Up(now)) {
-        Answer(request.id, 200, "");
+        reply(http_status::kOk, "");
       } else {
-        Answer(request.id, 503, wire::EncodeError("not ready"), 1);
+        reply(http_status::kServiceUnavailable, wire::EncodeError("not ready"), kRetryAfter);
       }
     }
   } else if (target == wire::kJobsPath) {
-    if (only("POST")) UserRequest(now, request);
+    if (only("POST")) user_api_.HandleRequest(now, request);
   } else if (target == "/metrics") {
-    if (only("GET")) Answer(request.id, 200, MetricsText(now));
+    if (only("GET")) reply(http_status::kOk, MetricsText(now));
   } else if (std::optional<wire::JobPath> path = wire::ParseJobPath(target)) {
     if (only(path->abort ? "POST" : "GET")) {
       if (!IsJobId(path->id)) {
-        Answer(request.id, 404, wire::EncodeError("no such job"));
+        reply(http_status::kNotFound, wire::EncodeError("no such job"));
       } else {
-        UserRequest(now, request);
+        user_api_.HandleRequest(now, request);
       }
     }
   } else {
-    Answer(request.id, 404, wire::EncodeError("no such path"));
+    reply(http_status::kNotFound, wire::EncodeError("no such path"));
   }
   After(now);
   return effects_.TakeOutbox();
@@ -151,9 +132,9 @@
   } else if (const auto* relay_reply = std::get_if<mesh::RelayReply>(&message)) {
     HandleRelayReply(*relay_reply);
   } else if (const auto* forward = std::get_if<mesh::Forward>(&message)) {
-    HandleForward(now, from, *forward);
+    user_api_.HandleForward(now, from, *forward);
   } else if (const auto* forward_reply = std::get_if<mesh::ForwardReply>(&message)) {
-    HandleForwardReply(now, *forward_reply);
+    user_api_.HandleForwardReply(now, *forward_reply);
   }
   After(now);
   return effects_.TakeOutbox();
@@ -197,7 +178,7 @@
   EndStaleRelays(now);
   now_ = now;
   effects_.set_last_tick(now);
-  RunForwards(now);
+  user_api_.Tick(now);
   After(now);
   return effects_.TakeOutbox();
 }
@@ -208,23 +189,24 @@
     out.append("troutlink_").append(name).append(" ").append(std::to_string(v)).append("\n");
   };
   const Counters& c = counters_;
+  const ApiCounters& api = user_api_.counters();
   put("uptime_seconds", static_cast<uint64_t>((now - started_) / kSecond));
-  put("submissions_total", c.submissions);
-  put("accepted_total", c.accepted);
-  put("refused_total", c.refused);
-  put("polls_total", c.polls);
-  put("aborts_total", c.aborts);
+  put("submissions_total", api.submissions);
+  put("accepted_total", api.accepted);
+  put("refused_total", api.refused);
+  put("polls_total", api.polls);
+  put("aborts_total", api.cancels);
   put("reports_total", c.reports);
   put("redirects_total", c.redirects);
   put("relays_total", c.relays);
-  put("forwards_total", c.forwards);
+  put("forwards_total", api.forwards);
   put("renewed_on_behalf_total", c.renewed_on_behalf);
   put("rounds_total", c.rounds);
   put("oversized_total", c.oversized);
   put("commits_total", c.commits);
   put("commit_conflicts_total", c.commit_conflicts);
   put("commit_unknown_total", c.commit_unknown);
-  put("state_puts_total", c.puts);
+  put("state_puts_total", c.puts + api.record_writes);
   put("state_calls_total", effects_.call_counts().state);
   put("busy_answers_total", effects_.call_counts().rate_limited);
   put("cloud_calls_total", effects_.call_counts().cloud);
@@ -260,7 +242,7 @@
   put("renewal_bound_ms", static_cast<uint64_t>(std::max<Micros>(0, bound - now) / kMilli));
   put("cancellations_total", c.cancellations);
   put("told_cancellations_total", c.told_cancellations);
-  put("kept_from_forwarding_total", c.kept_from_forwarding);
+  put("kept_from_forwarding_total", api.kept_from_forwarding);
   put("orphans_total", c.orphans);
   put("refused_by_limits_total", c.refused_by_limits);
   put("cluster_version", all_nodes_current_ ? kStoredFormVersion : kStoredFormVersion - 1);
@@ -284,7 +266,8 @@
   };
   for (size_t i = 0; i < kRefusals; ++i) {
     const auto refusal = static_cast<Refusal>(i);
-    put("permits_refused_total", "reason", NameOf(refusal), refusals_.Of(refusal));
+    put("permits_refused_total", "reason", NameOf(refusal),
+        refusals_.Of(refusal) + user_api_.refusals().Of(refusal));
   }
   for (size_t i = 0; i < kViolations; ++i) {
     const auto violation = static_cast<Violation>(i);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -4,8 +4,6 @@
 #define TROUTLINK_CORE_CORE_H_
 
 #include <array>
-#include <deque>
-#include <functional>
 #include <map>
 #include <memory>
 #include <set>
@@ -16,6 +14,7 @@
 
 #include "config/settings.h"
 #include "core/agents/health.h"
+#include "core/api/user_api.h"
 #include "core/fleet/offer_health.h"
 #include "core/io/effects.h"
 #include "core/io/fair_turns.h"
@@ -26,6 +25,7 @@
 #include "core/leadership/session_lease.h"
 #include "core/scheduler/placement.h"
 #include "core/store/dependencies.h"
+#include "core/store/job_entry.h"
 #include "core/store/records.h"
 #include "core/store/replica_feed.h"
 #include "wire/messages.h"
@@ -33,12 +33,10 @@
 namespace troutlink {
 
 struct Counters {
-  uint64_t submissions = 0, accepted = 0, refused = 0, polls = 0, aborts = 0;
-  uint64_t reports = 0, redirects = 0, relays = 0, forwards = 0, renewed_on_behalf = 0;
+  uint64_t reports = 0, redirects = 0, relays = 0, renewed_on_behalf = 0;
   uint64_t renewed = 0, renewed_as_former_leader = 0;
   uint64_t lists = 0, watches = 0;                     // of the state service, that were answered
   uint64_t cancellations = 0, told_cancellations = 0;  // in the replica, by peers before it
-  uint64_t kept_from_forwarding = 0;
   uint64_t rounds = 0, oversized = 0;
   uint64_t commits = 0, commit_conflicts = 0, commit_unknown = 0, puts = 0;
   uint64_t worker_unknown = 0;
@@ -56,6 +54,9 @@
  public:
   // `boot` differs at every start of the process.
   Core(const Settings& settings, uint64_t boot, Micros now, Micros wall);
+  ~Core();
+  Core(const Core&) = delete;
+  Core& operator=(const Core&) = delete;
 
   Outbox HandleRequest(Micros now, const Request& request);
   Outbox HandleAnswer(Micros now, uint64_t call, int status, const std::string& body);
@@ -64,6 +65,7 @@
   Outbox Tick(Micros now, Micros wall);
 
   const Counters& counters() const { return counters_; }
+  const ApiCounters& api_counters() const { return user_api_.counters(); }
   const Effects::CallCounts& call_counts() const { return effects_.call_counts(); }
   // For operators and tests.
   bool IsLeader(int shard_id) const {
@@ -84,16 +86,6 @@
   struct MachineInfo;
 
   // --- replica (replica.cc): what the state service holds, as last heard -----------
-  struct JobEntry {
-    // The specification is dropped once the job is over. Its priority is the one that the job
-    // is served with: its own or that of a job that depends on it.
-    JobRecord record;
-    uint64_t version = 0;
-    Priority own_priority = Priority::kLow;
-    bool blocked = false;  // waits for a job that it depends on
-    Micros ready_at = 0;   // time of day from which it may start, once it is not blocked
-    Micros inherited_latest_start = Urgency::kNoLimit;  // time of day, by its dependents
-  };
   struct Chunk {
     uint64_t version = 0;
     std::vector<std::string> names;  // of its machines
@@ -109,14 +101,6 @@
     const AssignedMachine* machine = nullptr;
     Amount all;
     std::array<Amount, kPriorities> by_priority;
-    // By work of that priority and above.
-    Amount AtLeast(Priority priority) const {
-      Amount sum;
-      for (size_t i = static_cast<size_t>(priority); i < by_priority.size(); ++i) {
-        sum += by_priority[i];
-      }
-      return sum;
-    }
     std::set<std::string> images;  // of its tasks
     // Of the shards that are ours, in the order of the machine's attempts.
     struct Slot {
@@ -310,106 +294,6 @@
   static constexpr Micros kStoodStill = 3 * kSecond;
   bool Up(Micros now) const;
 
-  // --- users' API (submissions.cc, queries.cc, forwarding.cc) ----------------------
-  struct Query {
-    enum class Kind { kPoll, kSubmit, kAbort } kind = Kind::kPoll;
-    uint64_t request = 0;
-    std::string id;
-    Micros since = 0;
-    int tries = 0;
-    bool unknown_job = false;  // there was no such job when it came
-  };
-  // A user's request until its answer. When we cannot reach the state service,
-  // or it is slow, a peer that can is asked as well; the first good answer
-  // counts. Every request may be carried out more than once without harm.
-  struct OpenRequest {
-    Request request;
-    Micros since = 0;
-    uint64_t forward = 0;  // its id at the peer; 0: not forwarded
-    Micros forwarded_at = 0;
-    bool tried = false;
-    bool refused = false;  // our own answer, kept while the peer works
-    Reply refusal;
-  };
-  // A call to the state service that a user waits for.
-  static constexpr Micros kUserCallTimeout = 1500 * kMilli;
-  static constexpr int kRetryAfter = 1;        // seconds
-  static constexpr uint64_t kRetrySpread = 4;  // seconds
-  // A request of a user of ours.
-  void UserRequest(Micros now, const Request& request);
-  // A user's request, from here or from a peer.
-  void Route(Micros now, const Request& request);
-  // Whether a request was passed on by a peer or to one, or is answered already.
-  bool HasCopy(uint64_t request) const;
-  bool MayPassOn(const Request& request) const;
-  bool ForwardRequest(Micros now, OpenRequest* open);
-  void RunForwards(Micros now);
-  // The last answer to a request that nobody is at work on any more.
-  void EndRequest(uint64_t id);
-  void HandleForward(Micros now, const std::string& from, const mesh::Forward& forward);
-  void HandleForwardReply(Micros now, const mesh::ForwardReply& answer);
-  // The peer that heard from the state service last; empty: none did lately.
-  std::string FreshPeer(Micros now) const;
-  void Submit(Micros now, const Request& request);
-  void StoreJob(Micros now, const Query& query, JobSpec spec);
-  // Stores the job once all jobs that it depends on are known, reading those that the replica
-  // lacks.
-  void ResolveDependencies(Micros now, const Query& query, JobSpec spec);
-  // Empty: they may be depended on.
-  std::string BadDependency(const JobSpec& spec) const;
-  // Empty: it can run.
-  std::string NeverRuns(const JobSpec& spec) const;
-  static std::string ListOf(const std::vector<std::string>& dependencies);
-  static int SpreadRetry(const std::string& id);
-  void Poll(Micros now, Query query);
-  void RunQueries(Micros now);
-  void OnQueriesChecked(Micros now, const std::vector<Query>& batch, int status,
-                        const std::string& body);
-  void AnswerQuery(Micros now, const Query& query);
-  void Abort(Micros now, Query query);
-  void OnCancelCommitted(Micros now, const Query& query, const StateWrite& write, int status,
-                         const std::string& body);
-  // Reads a job's record again, as the replica's turned out to be old.
-  void FetchJob(Micros now, const std::string& id);
-  // The same, and goes on; `read`: the replica has it now, if there is such a job.
-  void ReadJob(Micros now, const std::string& id, std::function<void(Micros now, bool read)> then);
-  // Whether the replica has all cancellations that users were told of long ago.
-  bool KnowsCancellations(Micros now) const;
-  void AnswerOpen(const OpenAnswerPermit& permit, const Query& query, const JobEntry& entry);
-  void AnswerFinished(const Query& query, const JobEntry& entry);
-  JobStatus StatusOfOpen(const std::string& id, const JobEntry& entry) const;
-
-  // --- choice of a shard for a job (shard_choice.cc) -------------------------------
-  struct Room {
-    double free = 0;     // cpus
-    double size = 0;     // cpus, without those of critical work
-    double waiting = 0;  // cpus that wait there and come first
-    double now_free = 0;
-    int placeable = 0;   // tasks that could start now
-    int machines = 0;    // that a task fits on once they are empty
-    int ready = 0;       // the same where its image is and nothing has to make way
-    int ready_soon = 0;  // and with what makes way for it
-    bool owned = false;  // by a node that lives
-  };
-  // What each shard has for a job: where its tasks could start now, given their
-  // zones, and free cpus less what already waits there and comes first.
-  std::vector<Room> RoomsFor(const JobSpec& spec);
-  // Adds what one machine has; the spreads say where tasks of the job would be by then.
-  void AddRoom(const JobSpec& spec, const MachineUse& use, Room* room, JobSpread* spread,
-               JobSpread* ready_spread) const;
-  // The same for replicas that need not wait for their image. `rest` is free, `left` with
-  // what makes way.
-  static void AddReadyRoom(const JobSpec& spec, Amount rest, const Amount& left,
-                           const PlaceMachine& probe, Room* room, JobSpread* spread);
-  bool HasImage(const MachineUse& use, const std::string& image) const;
-  // Cpus that wait in each shard for work of at least each priority.
-  using Waits = std::vector<std::array<int64_t, kPriorities>>;
-  const Waits& WaitingCpus();
-  void AddWaiting(int shard_id, const JobSpec& spec, int64_t tasks);
-  int64_t WaitingTasks(const std::string& id, const JobRecord& record) const;
-  int ShardForJob(const JobSpec& spec);
-  static double ScoreOf(const JobSpec& spec, const Room& room, double mean_size);
-
   // --- workers (reports.cc, worker_state.cc, commands.cc) ---------------------------
   struct AttemptInfo {
     std::string machine;
@@ -801,7 +685,6 @@
   static std::string OfferKey(const std::string& type, const std::string& zone, bool spot);
 
   // --- plumbing (core.cc) --------------------------------------------------------------
-  void Answer(uint64_t request, int status, std::string body, int retry_after_s = 0);
   void ShareLimits(Micros now);
   void After(Micros now);
   const JobEntry* FindJob(const std::string& id) const;
@@ -838,9 +721,7 @@
   Micros publish_version_after_ = 0;
   DependencyGraph dependencies_;
   std::set<std::string> orphans_;  // open jobs that depend on a cancelled one
-  Waits waits_;
-  Micros waits_at_ = -kSecond;
-  bool spread_seen_ = false;  // some service spreads over zones
+  bool spread_seen_ = false;       // some service spreads over zones
   std::set<std::string> service_images_;
   std::set<std::string> service_teams_;  // that ever had a service
   std::vector<Shard> shards_;
@@ -868,13 +749,9 @@
   CancellationLog cancellations_;
 
   // Users' API.
-  std::map<uint64_t, OpenRequest> open_;
-  std::map<uint64_t, uint64_t> forwards_;                         // forward id -> request
-  std::map<uint64_t, std::pair<std::string, uint64_t>> foreign_;  // request -> peer, its id
-  uint64_t next_foreign_;
-  std::deque<Query> queries_;
-  bool query_busy_ = false;
-  Micros query_not_before_ = 0;
+  class UserApiView;  // implements what the module asks of a controller
+  const std::unique_ptr<UserApiView> user_api_view_;
+  UserApi user_api_;
 
   // Workers.
   std::map<Attempt, AttemptInfo> attempts_;
--- a/src/core/scheduler/commit.cc
+++ b/src/core/scheduler/commit.cc
@@ -321,7 +321,7 @@
   shard->cycle.not_before = now + std::min(kFailedCommitPause, pause);
   for (const std::string& name : failed) {
     const Key key = ParseKey(name);
-    if (key.kind == Key::Kind::kJob) FetchJob(now, key.id);
+    if (key.kind == Key::Kind::kJob) user_api_.records().Refresh(now, key.id);
   }
 }
 
--- a/src/core/scheduler/rounds.cc
+++ b/src/core/scheduler/rounds.cc
@@ -369,14 +369,15 @@
   // Of this process, since its start: what is added up over a day comes from the log, as
   // counters end with their process.
   const Counters& c = counters_;
+  const ApiCounters& api = user_api_.counters();
   effects_.Log(LogLine::Level::kDebug,
                "counted: starts " + std::to_string(c.starts) + ", tails " +
                    std::to_string(c.tails) + ", helpers " + std::to_string(c.helpers) +
                    ", overdue " + std::to_string(c.overdue) + ", preempted " +
                    std::to_string(c.preempted) + ", cleared " + std::to_string(c.consolidated) +
-                   ", accepted " + std::to_string(c.accepted) + ", puts " + std::to_string(c.puts) +
-                   ", commits " + std::to_string(c.commits) + ", conflicts " +
-                   std::to_string(c.commit_conflicts));
+                   ", accepted " + std::to_string(api.accepted) + ", puts " +
+                   std::to_string(c.puts + api.record_writes) + ", commits " +
+                   std::to_string(c.commits) + ", conflicts " + std::to_string(c.commit_conflicts));
 }
 
 // Attempt numbers differ between shards, so that a job may change its shard.
--- a/src/core/scheduler/transfer.cc
+++ b/src/core/scheduler/transfer.cc
@@ -33,21 +33,30 @@
     if (now < run->move_at || ++asked > 4) continue;
     run->move_at =
         now + (spec.priority == Priority::kProduction ? kMovePatience / 5 : kMovePatience);
-    std::vector<Room> rooms = RoomsFor(spec);
+    const std::vector<ShardCapacity> capacities = user_api_.shard_selector().CapacitiesFor(spec);
     int best = -1;
-    if (rooms[static_cast<size_t>(shard_id)].machines == 0 && plan->assignments.rentals.empty() &&
-        now - run->unplaced_since > kNoMachinePatience) {
+    if (capacities[static_cast<size_t>(shard_id)].suitable_machines == 0 &&
+        plan->assignments.rentals.empty() && now - run->unplaced_since > kNoMachinePatience) {
       // No machine here could ever take it: to a shard that can wait for one.
       for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
-        const Room& room = rooms[static_cast<size_t>(other_id)];
-        if (!room.owned || room.machines == 0) continue;
-        if (best < 0 || room.machines > rooms[static_cast<size_t>(best)].machines) best = other_id;
+        const ShardCapacity& capacity = capacities[static_cast<size_t>(other_id)];
+        if (!capacity.has_live_leader || capacity.suitable_machines == 0) continue;
+        if (best < 0 ||
+            capacity.suitable_machines > capacities[static_cast<size_t>(best)].suitable_machines) {
+          best = other_id;
+        }
       }
     }
     for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
-      const Room& room = rooms[static_cast<size_t>(other_id)];
-      if (other_id == shard_id || !room.owned || room.placeable < std::min(spec.tasks, 8)) continue;
-      if (best < 0 || room.now_free > rooms[static_cast<size_t>(best)].now_free) best = other_id;
+      const ShardCapacity& capacity = capacities[static_cast<size_t>(other_id)];
+      if (other_id == shard_id || !capacity.has_live_leader ||
+          capacity.placeable_tasks < std::min(spec.tasks, 8)) {
+        continue;
+      }
+      if (best < 0 ||
+          capacity.available_cpus > capacities[static_cast<size_t>(best)].available_cpus) {
+        best = other_id;
+      }
     }
     if (best < 0) continue;
     plan->moved[spec.id] = best;
@@ -62,13 +71,14 @@
 // Free machines of other shards that may be taken now.
 void Core::FindAcquirable(Micros now, int shard_id, Plan* plan) {
   plan->acquirable_known = true;
-  const Waits& waits = WaitingCpus();
+  const std::vector<ShardBacklog::CpusByPriority>& backlog = user_api_.shard_backlog().Cpus();
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     const Shard& other = shards_[static_cast<size_t>(other_id)];
     if (other_id == shard_id || !MayChangeTable(other) || other.cycle.committing) continue;
     // What waits there is about to use them: a first wave of jobs once took a
     // shard's machines away before it could decide, and left it with its services.
-    const Micros after = waits[static_cast<size_t>(other_id)][0] > 0 ? kAcquireLate : kAcquireAfter;
+    const Micros after =
+        backlog[static_cast<size_t>(other_id)][0] > 0 ? kAcquireLate : kAcquireAfter;
     for (const auto& [name, m] : other.replica.assignments.machines) {
       if (!m.attempts.empty() || m.leaving || !m.helps.empty()) continue;
       if (m.addr.empty() || !plan->MayChange(name)) continue;  // still booting
--- /dev/null
+++ b/src/core/user_api_view.cc
@@ -0,0 +1,113 @@
+#include "core/user_api_view.h"
+
+namespace troutlink {
+
+namespace {
+// A peer that was silent for longer is not counted on for a shard, or for a user's request.
+constexpr Micros kLeaderAlive = 1500 * kMilli;
+constexpr Micros kPeerFresh = kSecond;
+}  // namespace
+
+const JobEntry* Core::UserApiView::FindJob(const std::string& id) const {
+  return core_.FindJob(id);
+}
+
+JobFate Core::UserApiView::FateOf(const std::string& id) const { return core_.FateOf(id); }
+
+bool Core::UserApiView::HasCancelledDependency(const JobSpec& spec) const {
+  return core_.HasCancelledDependency(spec);
+}
+
+bool Core::UserApiView::IsShard(int shard_id) const {
+  return shard_id >= 0 && shard_id < core_.settings_.shard_count();
+}
+
+TaskCounts Core::UserApiView::TaskCountsOf(const std::string& id, const JobRecord& record) const {
+  TaskCounts counts;
+  auto run = core_.runs_.find(id);
+  if (run != core_.runs_.end()) {
+    counts.done = run->second.done;
+    counts.running = run->second.placed;
+  } else if (IsShard(record.shard_id)) {
+    const ShardReplica& replica = core_.ShardAt(record.shard_id).replica;
+    auto progress = replica.progress.find(id);
+    if (progress != replica.progress.end()) {
+      counts.done = static_cast<int64_t>(progress->second.size());
+    }
+    auto placed = replica.use.jobs.find(id);
+    if (placed != replica.use.jobs.end()) counts.running = placed->second;
+  }
+  return counts;
+}
+
+void Core::UserApiView::ApplyPut(Micros now, const std::string& key, const std::string& value,
+                                 uint64_t version) {
+  core_.ApplyPut(now, key, value, version);
+}
+
+bool Core::UserApiView::ReplicaSynced() const { return core_.feed_.synced(); }
+
+Micros Core::UserApiView::ReplicaAge(Micros now) const {
+  return now - core_.feed_.complete_up_to();
+}
+
+bool Core::UserApiView::StateFresh(Micros now) const { return core_.StateFresh(now); }
+
+void Core::UserApiView::NoteStateAnswer(Micros now) { core_.state_ok_ = now; }
+
+const StateLimits& Core::UserApiView::Limits() const { return core_.Limits(); }
+
+bool Core::UserApiView::AllNodesCurrent() const { return core_.all_nodes_current_; }
+
+std::string Core::UserApiView::FreshPeer(Micros now) const {
+  const Peer* best = nullptr;
+  for (const auto& [label, peer] : core_.peers_) {
+    if (peer.heard == 0 || now - peer.heard > kPeerFresh || peer.state_age > kPeerFresh) continue;
+    if (best == nullptr || peer.state_age < best->state_age) best = &peer;
+  }
+  return best == nullptr ? "" : best->label;
+}
+
+const std::vector<MachineType>& Core::UserApiView::MachineTypes() const { return core_.types_; }
+
+Micros Core::UserApiView::WallNow(Micros now) const { return core_.WallNow(now); }
+
+void Core::UserApiView::LearnCancellation(Micros now, const std::string& job_id) {
+  core_.LearnCancellation(now, job_id);
+}
+
+void Core::UserApiView::HastenHeartbeat(Micros now) { core_.next_heartbeat_ = now; }
+
+int Core::UserApiView::ShardCount() const { return core_.settings_.shard_count(); }
+
+Micros Core::UserApiView::LastTick() const { return core_.now_; }
+
+void Core::UserApiView::VisitMachines(int shard_id, const MachineVisitor& visit) const {
+  for (const MachineUse& use : core_.ShardAt(shard_id).replica.machine_use) {
+    visit({*use.machine, core_.TypeOf(use.machine->type), use.all, use.by_priority, use.images});
+  }
+}
+
+void Core::UserApiView::VisitRunnableJobs(const BacklogVisitor& visit) const {
+  for (const std::string& id : core_.open_jobs_) {
+    const JobEntry& entry = core_.jobs_.at(id);
+    const JobRecord& record = entry.record;
+    if (!IsShard(record.shard_id) || entry.blocked) continue;
+    const TaskCounts counts = TaskCountsOf(id, record);
+    visit(record.shard_id, record.spec, record.spec.tasks - counts.done - counts.running);
+  }
+}
+
+bool Core::UserApiView::CachesImage(const std::string& machine, const std::string& image) const {
+  auto info = core_.machines_.find(machine);
+  return info != core_.machines_.end() && info->second.images.count(image) != 0;
+}
+
+bool Core::UserApiView::HasLiveLeader(int shard_id) const {
+  const ShardReplica& replica = core_.ShardAt(shard_id).replica;
+  auto leader = core_.peers_.find(replica.leadership_record.leader);
+  return replica.leadership_version != 0 &&
+         (leader == core_.peers_.end() || core_.now_ - leader->second.heard < kLeaderAlive);
+}
+
+}  // namespace troutlink
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -242,7 +242,7 @@
   uint64_t puts = 0, commits = 0, rounds = 0, oversized = 0;
   for (size_t n = 0; n < 3; ++n) {
     const Counters& c = w.core(n).counters();
-    puts += c.puts;
+    puts += c.puts + w.core(n).api_counters().record_writes;
     commits += c.commits;
     rounds += c.rounds;
     oversized += c.oversized;
