--- a/src/base/digits.h
+++ b/src/base/digits.h
@@ -1,50 +1,59 @@
-// Varints as printable text, for values that are stored as text: each character
-// holds five bits of the number, least significant first, and a sixth bit that says
-// whether more follow.
+// Varints as printable text, for records that are stored as text: each character holds five
+// bits of the number, least significant first, and a sixth bit that says whether more follow.
 #ifndef TROUTLINK_BASE_DIGITS_H_
 #define TROUTLINK_BASE_DIGITS_H_
 
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 
 namespace troutlink {
 
-// The character for each value from 0 to 63.
+// The character for each value from 0 to 63: the alphabet of base64url (RFC 4648).
 inline constexpr std::string_view kDigits =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+// Bits of the number in a character.
+inline constexpr int kDigitBits = 5;
+// The part of a character's value that belongs to the number.
+inline constexpr uint64_t kDigitMask = 31;
+// Set in a character's value when more characters follow.
+inline constexpr uint64_t kMoreDigits = 32;
 
 // Appends `value` to `out`.
 inline void PutDigits(std::string* out, uint64_t value) {
-  while (value >= 32) {
-    out->push_back(kDigits[(value & 31) | 32]);
-    value >>= 5;
+  while (value > kDigitMask) {
+    out->push_back(kDigits[(value & kDigitMask) | kMoreDigits]);
+    value >>= kDigitBits;
   }
   out->push_back(kDigits[value]);
 }
 
+// The place of `letter` in kDigits; nothing when it has none.
+constexpr std::optional<uint64_t> DigitValue(char letter) {
+  if (letter >= 'A' && letter <= 'Z') return static_cast<uint64_t>(letter - 'A');
+  if (letter >= 'a' && letter <= 'z') return static_cast<uint64_t>(letter - 'a') + 26;
+  if (letter >= '0' && letter <= '9') return static_cast<uint64_t>(letter - '0') + 52;
+  if (letter == '-') return 62;
+  if (letter == '_') return 63;
+  return std::nullopt;
+}
+
 // Reads a number from the front of `in` and advances it; false when `in` ends early
 // or does not hold a number of 64 bits.
 inline bool GetDigits(std::string_view* in, uint64_t* value) {
+  // The thirteenth character holds the last four of the 64 bits.
+  constexpr int kLastShift = 60;
+  constexpr uint64_t kMaxLast = 15;
   *value = 0;
-  for (int shift = 0; !in->empty(); shift += 5) {
-    char letter = in->front();
+  for (int shift = 0; !in->empty(); shift += kDigitBits) {
+    const std::optional<uint64_t> digit = DigitValue(in->front());
     in->remove_prefix(1);
-    uint64_t digit;
-    if (letter >= 'A' && letter <= 'Z') {
-      digit = static_cast<uint64_t>(letter - 'A');
-    } else if (letter >= 'a' && letter <= 'z') {
-      digit = static_cast<uint64_t>(letter - 'a') + 26;
-    } else if (letter >= '0' && letter <= '9') {
-      digit = static_cast<uint64_t>(letter - '0') + 52;
-    } else if (letter == '-' || letter == '_') {
-      digit = letter == '-' ? 62 : 63;
-    } else {
-      return false;
-    }
-    if (shift >= 65 || (shift == 60 && (digit & 31) > 15)) return false;
-    *value |= (digit & 31) << shift;
-    if ((digit & 32) == 0) return true;
+    if (!digit || shift > kLastShift) return false;
+    const uint64_t bits = *digit & kDigitMask;
+    if (shift == kLastShift && bits > kMaxLast) return false;
+    *value |= bits << shift;
+    if ((*digit & kMoreDigits) == 0) return true;
   }
   return false;
 }
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -3,37 +3,42 @@
 #ifndef TROUTLINK_BASE_IDS_H_
 #define TROUTLINK_BASE_IDS_H_
 
+#include <cstddef>
 #include <cstdint>
-#include <string>
 #include <string_view>
 
 namespace troutlink {
 
-// Hash of `text` (FNV-1a, mixed): equal on every node and release, unlike std::hash.
-inline uint64_t StableHash(std::string_view text) {
-  uint64_t hash = 14695981039346656037ull;
-  for (unsigned char byte : text) {
-    hash ^= byte;
-    hash *= 1099511628211ull;
+// Hash of `text` (FNV-1a, then mixed): equal on every node and in every release, unlike
+// std::hash.
+constexpr uint64_t StableHash(std::string_view text) {
+  constexpr uint64_t kFnvOffsetBasis = 14695981039346656037ULL;
+  constexpr uint64_t kFnvPrime = 1099511628211ULL;
+  constexpr uint64_t kGoldenRatio = 0x9E3779B97F4A7C15ULL;  // of 2^64, for Fibonacci hashing
+  uint64_t hash = kFnvOffsetBasis;
+  for (const char letter : text) {
+    hash ^= static_cast<unsigned char>(letter);
+    hash *= kFnvPrime;
   }
-  // FNV's low bits of short names are poorly mixed; fold the high ones in.
-  hash ^= hash >> 32;
-  hash *= 0x9E3779B97F4A7C15ull;
-  return hash ^ (hash >> 29);
+  // FNV's low bits of short names are poorly mixed; fold the high ones in, twice.
+  constexpr int kFirstFold = 32;
+  constexpr int kSecondFold = 29;
+  hash ^= hash >> kFirstFold;
+  hash *= kGoldenRatio;
+  return hash ^ (hash >> kSecondFold);
 }
 
 // Every job id starts with this.
 inline constexpr std::string_view kJobPrefix = "job-";
+// The most decimal digits after the prefix.
+inline constexpr size_t kMaxJobDigits = 32;
 
 // Whether `id` is a job id: `job-` and 1 to 32 decimal digits.
-inline bool IsJobId(std::string_view id) {
-  if (id.substr(0, kJobPrefix.size()) != kJobPrefix) return false;
-  std::string_view digits = id.substr(kJobPrefix.size());
-  if (digits.empty() || digits.size() > 32) return false;
-  for (char digit : digits) {
-    if (digit < '0' || digit > '9') return false;
-  }
-  return true;
+constexpr bool IsJobId(std::string_view id) {
+  if (!id.starts_with(kJobPrefix)) return false;
+  const std::string_view digits = id.substr(kJobPrefix.size());
+  return !digits.empty() && digits.size() <= kMaxJobDigits &&
+         digits.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
 }  // namespace troutlink
--- a/src/base/micros.h
+++ b/src/base/micros.h
@@ -16,22 +16,30 @@
 // One second.
 inline constexpr Micros kSecond = 1000 * kMilli;
 
-// Steady clocks of different machines differ in rate by up to 0.05%.
+// The steady clocks of two machines differ in rate by up to this many parts in a million.
 inline constexpr int64_t kDriftPerMillion = 500;
 
 // `seconds` rounded to whole microseconds.
-inline Micros FromSeconds(double seconds) {
-  return static_cast<Micros>(std::llround(seconds * 1e6));
+[[nodiscard]] inline Micros FromSeconds(double seconds) {
+  return static_cast<Micros>(std::llround(seconds * static_cast<double>(kSecond)));
 }
 
 // `time` in seconds.
-inline double ToSeconds(Micros time) { return static_cast<double>(time) / 1e6; }
+[[nodiscard]] constexpr double ToSeconds(Micros time) {
+  return static_cast<double>(time) / static_cast<double>(kSecond);
+}
+
+// How much the clocks of two machines may differ over `duration`, rounded down.
+[[nodiscard]] constexpr Micros ClockDrift(Micros duration) {
+  constexpr int64_t kMillion = 1000000;
+  return duration * kDriftPerMillion / kMillion;
+}
 
 // The longest that a duration on another machine's clock may take on this one's.
-inline Micros Longest(Micros duration) { return duration + duration * kDriftPerMillion / 1000000; }
+[[nodiscard]] constexpr Micros Longest(Micros duration) { return duration + ClockDrift(duration); }
 
 // The shortest that a duration on another machine's clock may take on this one's.
-inline Micros Shortest(Micros duration) { return duration - duration * kDriftPerMillion / 1000000; }
+[[nodiscard]] constexpr Micros Shortest(Micros duration) { return duration - ClockDrift(duration); }
 
 }  // namespace troutlink
 
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,4 +1,4 @@
-// The outcome of reading a document: a value, or a typed error with one line of
+// The outcome of an operation that may fail: a value, or a typed error with one line of
 // text that says what is wrong.
 #ifndef TROUTLINK_BASE_RESULT_H_
 #define TROUTLINK_BASE_RESULT_H_
@@ -9,7 +9,8 @@
 
 namespace troutlink {
 
-// What was wrong: `code` for the program, `text` for whoever sent the document.
+// What was wrong: `code` for the program, `text` for a person, such as whoever sent a document
+// that is refused.
 template <typename Code>
 struct Error {
   Code code;
@@ -17,9 +18,9 @@
 };
 
 // Holds a value or an error, never both. Reading the one that is not held is a
-// fault of the caller.
+// fault of the caller, with undefined behaviour.
 template <typename Value, typename Code>
-class Result {
+class [[nodiscard]] Result {
  public:
   // Implicit, so that functions return a value or an error as it is, as with std::optional.
   Result(Value value)  // NOLINT(google-explicit-constructor): see above
@@ -28,14 +29,14 @@
       : state_(std::in_place_index<1>, std::move(error)) {}
 
   // True when it holds a value.
-  explicit operator bool() const { return state_.index() == 0; }
+  [[nodiscard]] explicit operator bool() const { return state_.index() == 0; }
   // The value.
-  Value& operator*() { return *std::get_if<0>(&state_); }
-  const Value& operator*() const { return *std::get_if<0>(&state_); }
+  [[nodiscard]] Value& operator*() { return *std::get_if<0>(&state_); }
+  [[nodiscard]] const Value& operator*() const { return *std::get_if<0>(&state_); }
   Value* operator->() { return std::get_if<0>(&state_); }
   const Value* operator->() const { return std::get_if<0>(&state_); }
   // The error.
-  const Error<Code>& error() const { return *std::get_if<1>(&state_); }
+  [[nodiscard]] const Error<Code>& error() const { return *std::get_if<1>(&state_); }
 
  private:
   std::variant<Value, Error<Code>> state_;
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -1,249 +1,212 @@
 #include "config/settings.h"
 
-#include <arpa/inet.h>
-#include <google/protobuf/io/tokenizer.h>
-#include <google/protobuf/text_format.h>
-
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
+#include <iterator>
 #include <nlohmann/json.hpp>
-#include <stdexcept>
+#include <span>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "base/micros.h"
+#include "base/result.h"
+#include "config/json_reader.h"
+#include "config/settings_fault.h"
 
 namespace troutlink {
 namespace {
 
 using Json = nlohmann::json;
 
-struct Bad : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
+// Ranges of the platform's numbers, in the units of the document.
+constexpr NumberRange kQuota = {0, 1e9};  // cpus or gpus of a team
+constexpr NumberRange kReportSeconds = {0.01, 3600};
+constexpr NumberRange kLeaseSeconds = {0.1, 36000};
+constexpr NumberRange kCancelSeconds = {0.1, 360000};
+constexpr NumberRange kStateRate = {1, 1e9};  // requests or writes in a second
+constexpr NumberRange kValueKilobytes = {1, 1e6};
+constexpr NumberRange kTransactionOps = {4, 1e6};
+constexpr NumberRange kCloudRate = {0.01, 1e9};  // requests in a second
+constexpr NumberRange kListLagSeconds = {0, 3600};
+constexpr NumberRange kCores = {0.001, 1e6};
+constexpr NumberRange kMemoryMegabytes = {1, 1e9};
+constexpr NumberRange kFileDescriptors = {32, 1e8};
+constexpr NumberRange kTimeBoundMillis = {0, 1e9};
+
+constexpr double kBytesPerKilobyte = 1024;
+constexpr double kMillisPerSecond = 1000;
+constexpr double kThousandthsPerUnit = 1000;
+
+int64_t Thousandths(double value) { return std::llround(value * kThousandthsPerUnit); }
+
+Objective::Kind ParseObjectiveKind(std::string_view word) {
+  if (word == "wait") return Objective::Kind::kWait;
+  if (word == "finished") return Objective::Kind::kFinished;
+  if (word == "deadline") return Objective::Kind::kDeadline;
+  return Objective::Kind::kOther;
+}
 
-const Json& Get(const Json& map, const std::string& where, const char* key) {
-  if (!map.is_object()) throw Bad(where + " must be an object");
-  auto it = map.find(key);
-  if (it == map.end()) throw Bad(where + "." + key + " is missing");
-  return *it;
+std::vector<Sibling> ReadSiblings(const JsonObjectReader& root, FirstError* error) {
+  std::vector<Sibling> siblings;
+  for (const Json& element : root.List("siblings")) {
+    const JsonObjectReader fields(element, "siblings[]", error);
+    siblings.push_back({.label = fields.Text("label"),
+                        .zone = fields.Text("area"),
+                        .mesh = fields.Address("endpoint")});
+  }
+  return siblings;
 }
 
-std::string GetText(const Json& map, const std::string& where, const char* key) {
-  const Json& value = Get(map, where, key);
-  if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
-    throw Bad(where + "." + key + " must be a text");
+std::vector<std::string> ReadZones(const JsonObjectReader& facts) {
+  std::vector<std::string> zones;
+  for (const Json& zone : facts.List("zones")) {
+    if (!zone.is_string()) {
+      facts.Fail("facts.zones must hold texts");
+      return {};
+    }
+    zones.push_back(zone.get<std::string>());
   }
-  return value.get<std::string>();
+  return zones;
 }
 
-double GetNumber(const Json& map, const std::string& where, const char* key, double least,
-                 double most) {
-  const Json& value = Get(map, where, key);
-  if (!value.is_number() || !(value.get<double>() >= least) || !(value.get<double>() <= most)) {
-    throw Bad(where + "." + key + " must be a number from " + std::to_string(least) + " to " +
-              std::to_string(most));
+std::vector<Team> ReadTeams(const JsonObjectReader& facts, FirstError* error) {
+  std::vector<Team> teams;
+  for (const Json& element : facts.List("teams")) {
+    const JsonObjectReader fields(element, "teams[]", error);
+    teams.push_back({.name = fields.Text("name"),
+                     .cpus = Thousandths(fields.Number("cpus", kQuota)),
+                     .cpus_max = Thousandths(fields.Number("cpus_max", kQuota)),
+                     .gpus = Thousandths(fields.Number("gpus", kQuota)),
+                     .gpus_max = Thousandths(fields.Number("gpus_max", kQuota))});
   }
-  return value.get<double>();
+  return teams;
 }
 
-Endpoint GetEndpoint(const Json& map, const std::string& where, const char* key) {
-  std::optional<Endpoint> endpoint = ParseEndpoint(GetText(map, where, key));
-  if (!endpoint) throw Bad(where + "." + key + " must be IPv4:port");
-  return *endpoint;
+// The field as a number, or `otherwise` for one that is missing or of another type.
+double NumberOr(const Json& map, const char* key, double otherwise) {
+  const auto it = map.find(key);
+  return it != map.end() && it->is_number() ? it->get<double>() : otherwise;
 }
 
-const Json& GetList(const Json& map, const std::string& where, const char* key) {
-  const Json& value = Get(map, where, key);
-  if (!value.is_array()) throw Bad(where + "." + key + " must be a list");
-  return value;
+// Throws an exception of the JSON library when the kind or the class is not a text.
+Objective ReadObjective(const Json& map) {
+  Objective objective;
+  objective.kind = ParseObjectiveKind(map.value("kind", ""));
+  objective.job_class = map.value("class", "");
+  objective.within = FromSeconds(NumberOr(map, "within_s", 0));
+  objective.times = NumberOr(map, "times", objective.times);
+  objective.share = NumberOr(map, "share", objective.share);
+  return objective;
 }
 
-Objective::Kind ParseObjectiveKind(const std::string& word) {
-  if (word == "wait") return Objective::Kind::kWait;
-  if (word == "finished") return Objective::Kind::kFinished;
-  if (word == "deadline") return Objective::Kind::kDeadline;
-  return Objective::Kind::kOther;
+// Objectives may be missing, and elements that are not objects are left out.
+std::vector<Objective> ReadObjectives(const JsonObjectReader& facts) {
+  const Json* list = facts.Find("objectives");
+  if (list == nullptr || !list->is_array()) return {};
+  std::vector<Objective> objectives;
+  try {
+    for (const Json& map : *list) {
+      if (map.is_object()) objectives.push_back(ReadObjective(map));
+    }
+  } catch (const Json::exception& exception) {
+    // The library's text is what operators have been told of such a field.
+    facts.Fail(exception.what());
+  }
+  return objectives;
 }
 
-int64_t Milli(double value) { return std::llround(value * 1000); }
+void ReadWorkers(const JsonObjectReader& workers, Settings* settings) {
+  settings->report = FromSeconds(workers.Number("report_s", kReportSeconds));
+  settings->lease = FromSeconds(workers.Number("lease_s", kLeaseSeconds));
+  settings->cancel = FromSeconds(workers.Number("cancel_s", kCancelSeconds));
+  if (settings->cancel <= settings->lease) {
+    workers.Fail("workers.cancel_s must be longer than workers.lease_s");
+  }
+}
 
-StateLimits ReadLimits(const Json& state, const std::string& where) {
+StateLimits ReadStateLimits(const JsonObjectReader& state) {
   StateLimits limits;
-  limits.write_rps = GetNumber(state, where, "write_rps", 1, 1e9);
-  limits.value_bytes = static_cast<int64_t>(1024 * GetNumber(state, where, "value_kb", 1, 1e6));
-  limits.txn_ops = static_cast<int>(GetNumber(state, where, "txn_ops", 4, 1e6));
+  limits.write_rps = state.Number("write_rps", kStateRate);
+  limits.value_bytes =
+      static_cast<int64_t>(kBytesPerKilobyte * state.Number("value_kb", kValueKilobytes));
+  limits.txn_ops = static_cast<int>(state.Number("txn_ops", kTransactionOps));
   return limits;
 }
 
 // The announced limits; what they do not name stays as it is, and none of them is larger.
-StateLimits ReadNextLimits(const Json& state, const StateLimits& present) {
-  auto next = state.find("next");
-  if (next == state.end() || next->is_null()) return present;
-  if (!next->is_object()) throw Bad("state.next must be an object");
-  Json merged = state;
+StateLimits ReadNextStateLimits(const JsonObjectReader& state, const StateLimits& present,
+                                FirstError* error) {
+  const Json* next = state.Find("next");
+  if (next == nullptr || next->is_null()) return present;
+  if (!next->is_object()) {
+    state.Fail("state.next must be an object");
+    return present;
+  }
+  Json merged = state.value();
   merged.merge_patch(*next);
-  StateLimits limits = ReadLimits(merged, "state.next");
+  StateLimits limits = ReadStateLimits(JsonObjectReader(merged, "state.next", error));
   limits.write_rps = std::min(limits.write_rps, present.write_rps);
   limits.value_bytes = std::min(limits.value_bytes, present.value_bytes);
   limits.txn_ops = std::min(limits.txn_ops, present.txn_ops);
   return limits;
 }
 
-Settings Read(const Json& doc) {
-  Settings settings;
-  settings.label = GetText(doc, "settings", "label");
-  settings.zone = GetText(doc, "settings", "area");
-  settings.serve = GetEndpoint(doc, "settings", "serve_on");
-  settings.mesh = GetEndpoint(doc, "settings", "mesh_addr");
-  for (const Json& sibling : GetList(doc, "settings", "siblings")) {
-    settings.siblings.push_back({GetText(sibling, "siblings[]", "label"),
-                                 GetText(sibling, "siblings[]", "area"),
-                                 GetEndpoint(sibling, "siblings[]", "endpoint")});
-  }
-  const Json& external = Get(doc, "settings", "external");
-  settings.cloud = GetEndpoint(external, "external", "cloud");
-  settings.state = GetEndpoint(external, "external", "state");
-  const Json& facts = Get(doc, "settings", "facts");
-  for (const Json& zone : GetList(facts, "facts", "zones")) {
-    if (!zone.is_string()) throw Bad("facts.zones must hold texts");
-    settings.zones.push_back(zone.get<std::string>());
-  }
-  for (const Json& map : GetList(facts, "facts", "teams")) {
-    Team team;
-    team.name = GetText(map, "teams[]", "name");
-    team.cpus = Milli(GetNumber(map, "teams[]", "cpus", 0, 1e9));
-    team.cpus_max = Milli(GetNumber(map, "teams[]", "cpus_max", 0, 1e9));
-    team.gpus = Milli(GetNumber(map, "teams[]", "gpus", 0, 1e9));
-    team.gpus_max = Milli(GetNumber(map, "teams[]", "gpus_max", 0, 1e9));
-    settings.teams.push_back(std::move(team));
-  }
-  if (auto it = facts.find("objectives"); it != facts.end() && it->is_array()) {
-    for (const Json& map : *it) {
-      if (!map.is_object()) continue;
-      Objective objective;
-      objective.kind = ParseObjectiveKind(map.value("kind", ""));
-      objective.job_class = map.value("class", "");
-      if (auto number = map.find("within_s"); number != map.end() && number->is_number()) {
-        objective.within = FromSeconds(number->get<double>());
-      }
-      if (auto number = map.find("times"); number != map.end() && number->is_number()) {
-        objective.times = number->get<double>();
-      }
-      if (auto number = map.find("share"); number != map.end() && number->is_number()) {
-        objective.share = number->get<double>();
-      }
-      settings.objectives.push_back(std::move(objective));
-    }
-  }
-  const Json& workers = Get(facts, "facts", "workers");
-  settings.report = FromSeconds(GetNumber(workers, "workers", "report_s", 0.01, 3600));
-  settings.lease = FromSeconds(GetNumber(workers, "workers", "lease_s", 0.1, 36000));
-  settings.cancel = FromSeconds(GetNumber(workers, "workers", "cancel_s", 0.1, 360000));
-  if (settings.cancel <= settings.lease) {
-    throw Bad("workers.cancel_s must be longer than workers.lease_s");
-  }
-  const Json& state = Get(facts, "facts", "state");
-  settings.state_rps = GetNumber(state, "state", "rps", 1, 1e9);
-  settings.state_limits = ReadLimits(state, "state");
-  settings.next_state_limits = ReadNextLimits(state, settings.state_limits);
-  const Json& cloud = Get(facts, "facts", "cloud");
-  settings.cloud_rps = GetNumber(cloud, "cloud", "rps", 0.01, 1e9);
-  settings.list_lag = FromSeconds(GetNumber(cloud, "cloud", "list_lag_s", 0, 3600));
-  const Json& resources = Get(facts, "facts", "resources");
-  settings.cores = GetNumber(resources, "resources", "cores", 0.001, 1e6);
-  settings.mem_mb = GetNumber(resources, "resources", "mem_mb", 1, 1e9);
-  settings.fd_limit = static_cast<int>(GetNumber(resources, "resources", "fd_limit", 32, 1e8));
-  settings.time_bound = FromSeconds(GetNumber(facts, "facts", "time_bound_ms", 0, 1e9) / 1000);
-
-  settings.labels.push_back(settings.label);
-  for (const Sibling& sibling : settings.siblings) settings.labels.push_back(sibling.label);
-  std::sort(settings.labels.begin(), settings.labels.end());
-  if (std::adjacent_find(settings.labels.begin(), settings.labels.end()) != settings.labels.end()) {
-    throw Bad("settings.siblings: two controllers have the same label");
-  }
-  settings.own_shard =
-      static_cast<int>(std::find(settings.labels.begin(), settings.labels.end(), settings.label) -
-                       settings.labels.begin());
-  return settings;
+void ReadFacts(const JsonObjectReader& facts, Settings* settings, FirstError* error) {
+  settings->zones = ReadZones(facts);
+  settings->teams = ReadTeams(facts, error);
+  settings->objectives = ReadObjectives(facts);
+  ReadWorkers(facts.Object("workers", "workers"), settings);
+  const JsonObjectReader state = facts.Object("state", "state");
+  settings->state_rps = state.Number("rps", kStateRate);
+  settings->state_limits = ReadStateLimits(state);
+  settings->next_state_limits = ReadNextStateLimits(state, settings->state_limits, error);
+  const JsonObjectReader cloud = facts.Object("cloud", "cloud");
+  settings->cloud_rps = cloud.Number("rps", kCloudRate);
+  settings->list_lag = FromSeconds(cloud.Number("list_lag_s", kListLagSeconds));
+  const JsonObjectReader resources = facts.Object("resources", "resources");
+  settings->cores = resources.Number("cores", kCores);
+  settings->mem_mb = resources.Number("mem_mb", kMemoryMegabytes);
+  settings->fd_limit = static_cast<int>(resources.Number("fd_limit", kFileDescriptors));
+  settings->time_bound =
+      FromSeconds(facts.Number("time_bound_ms", kTimeBoundMillis) / kMillisPerSecond);
 }
 
-class FirstError : public google::protobuf::io::ErrorCollector {
- public:
-  void AddError(int line, int column, const std::string& message) override {
-    if (text.empty()) {
-      text = "line " + std::to_string(line + 1) + ", column " + std::to_string(column + 1) + ": " +
-             message;
-    }
+// Numbers the shards by the order of the controllers' labels, which all controllers know.
+void AssignShards(const JsonObjectReader& root, Settings* settings) {
+  std::vector<std::string>& labels = settings->labels;
+  labels.push_back(settings->label);
+  for (const Sibling& sibling : settings->siblings) labels.push_back(sibling.label);
+  std::ranges::sort(labels);
+  if (std::ranges::adjacent_find(labels) != labels.end()) {
+    root.Fail("settings.siblings: two controllers have the same label");
   }
-  std::string text;
-};
+  settings->own_shard =
+      static_cast<int>(std::distance(labels.begin(), std::ranges::find(labels, settings->label)));
+}
 
 }  // namespace
 
-std::optional<Endpoint> ParseEndpoint(const std::string& text) {
-  size_t colon = text.rfind(':');
-  if (colon == std::string::npos || text.size() - colon > 6) return std::nullopt;
-  Endpoint endpoint;
-  endpoint.text = text;
-  endpoint.host = text.substr(0, colon);
-  in_addr addr;
-  if (inet_pton(AF_INET, endpoint.host.c_str(), &addr) != 1) return std::nullopt;
-  for (size_t index = colon + 1; index < text.size(); ++index) {
-    if (text[index] < '0' || text[index] > '9') return std::nullopt;
-    endpoint.port = endpoint.port * 10 + (text[index] - '0');
-  }
-  if (endpoint.port < 1 || endpoint.port > 65535) return std::nullopt;
-  return endpoint;
-}
-
 Result<Settings, SettingsFault> ParseSettings(const std::string& json) {
-  Json doc = Json::parse(json, nullptr, false);
-  if (doc.is_discarded()) {
+  const Json document = Json::parse(json, nullptr, false);
+  if (document.is_discarded()) {
     return Error<SettingsFault>{SettingsFault::kSyntax, "settings are not JSON"};
   }
-  try {
-    return Read(doc);
-  } catch (const std::exception& exception) {
-    return Error<SettingsFault>{SettingsFault::kBadField, exception.what()};
-  }
-}
-
-Result<OperatorSettings, SettingsFault> ParseOperatorSettings(const std::string& text) {
-  OperatorSettings settings;
-  google::protobuf::TextFormat::Parser parser;
-  FirstError first;
-  parser.RecordErrorsTo(&first);
-  if (!parser.ParseFromString(text, &settings)) {
-    return Error<SettingsFault>{SettingsFault::kSyntax, "operator settings: " + first.text};
-  }
-  std::string error;
-  auto range = [&error](const char* name, double value, double least, double most) {
-    if (value >= least && value <= most) return true;
-    char buf[200];
-    std::snprintf(buf, sizeof buf, "operator settings: %s must be from %g to %g, not %g", name,
-                  least, most, value);
-    error = buf;
-    return false;
-  };
-  const bool good = range("tail_threshold", settings.tail_threshold(), 0.01, 1) &&
-                    range("credit_share", settings.credit_share(), 0, 10) &&
-                    range("progress_period_s", settings.progress_period_s(), 0.5, 600) &&
-                    range("overdue_margin", settings.overdue_margin(), 1, 100) &&
-                    range("claim_life_s", settings.claim_life_s(), 1, 120) &&
-                    range("hand_back_after_s", settings.hand_back_after_s(), 1, 3600) &&
-                    range("service_headroom_cpus", settings.service_headroom_cpus(), 0, 1e6) &&
-                    range("service_headroom_share", settings.service_headroom_share(), 0, 10) &&
-                    range("idle_return_boots", settings.idle_return_boots(), 0, 1000) &&
-                    range("rent_share", settings.rent_share(), 0, 10) &&
-                    range("refusal_pause_s", settings.refusal_pause_s(), 0.5, 3600) &&
-                    range("boot_patience", settings.boot_patience(), 1, 100) &&
-                    range("array_headroom_share", settings.array_headroom_share(), 0, 10) &&
-                    range("machine_failures", settings.machine_failures(), 1, 1000) &&
-                    range("job_failures", settings.job_failures(), 1, 1000) &&
-                    range("starve_s", settings.starve_s(), 0, 1e6) &&
-                    range("consolidate_after_s", settings.consolidate_after_s(), 0, 86400) &&
-                    range("team_headroom_cpus", settings.team_headroom_cpus(), 0, 1e6) &&
-                    range("image_headroom_cpus", settings.image_headroom_cpus(), 0, 1e6) &&
-                    range("batch", settings.batch(), 1, 100000) &&
-                    range("batch_most", settings.batch_most(), settings.batch(), 100000);
-  if (!good) return Error<SettingsFault>{SettingsFault::kBadField, std::move(error)};
+  FirstError error;
+  const JsonObjectReader root(document, "settings", &error);
+  Settings settings;
+  settings.label = root.Text("label");
+  settings.zone = root.Text("area");
+  settings.serve = root.Address("serve_on");
+  settings.mesh = root.Address("mesh_addr");
+  settings.siblings = ReadSiblings(root, &error);
+  const JsonObjectReader external = root.Object("external", "external");
+  settings.cloud = external.Address("cloud");
+  settings.state = external.Address("state");
+  ReadFacts(root.Object("facts", "facts"), &settings, &error);
+  AssignShards(root, &settings);
+  if (error.any()) return Error<SettingsFault>{SettingsFault::kBadField, error.text()};
   return settings;
 }
 
--- a/src/http/message.cc
+++ b/src/http/message.cc
@@ -1,191 +1,256 @@
 #include "http/message.h"
 
 #include <algorithm>
+#include <array>
 #include <cctype>
+#include <charconv>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <system_error>
+#include <utility>
 
 namespace troutlink::http {
 namespace {
 
-bool EqualsNoCase(std::string_view left, std::string_view right) {
-  return left.size() == right.size() &&
-         std::equal(left.begin(), left.end(), right.begin(), [](char left_char, char right_char) {
-           return std::tolower(static_cast<unsigned char>(left_char)) ==
-                  std::tolower(static_cast<unsigned char>(right_char));
-         });
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr std::string_view kVersion10 = "HTTP/1.0";
+constexpr std::string_view kVersion11 = "HTTP/1.1";
+// Statuses with which a message can be refused.
+constexpr int kBadRequest = 400;
+constexpr int kContentTooLarge = 413;
+constexpr int kHeadTooLarge = 431;
+constexpr int kNotImplemented = 501;
+constexpr int kVersionNotSupported = 505;
+// The longest decimal number that is read: it fits 32 bits.
+constexpr size_t kMaxNumberDigits = 9;
+// The longest size of a chunk: it fits 32 bits.
+constexpr size_t kMaxChunkSizeDigits = 7;
+// The longest line with the size of a chunk, extensions included.
+constexpr size_t kMaxChunkLine = 64;
+constexpr size_t kDecimal = 10;
+constexpr int kHexadecimal = 16;
+// Reserved for the head of a message that is written.
+constexpr size_t kUsualHead = 128;
+
+bool EqualsIgnoringCase(std::string_view left, std::string_view right) {
+  return std::ranges::equal(left, right, [](unsigned char left_char, unsigned char right_char) {
+    return std::tolower(left_char) == std::tolower(right_char);
+  });
 }
 
+// `text` without blanks and tabs at its ends.
 std::string_view Trim(std::string_view text) {
-  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
-  return text;
+  constexpr std::string_view kBlanks = " \t";
+  const size_t first = text.find_first_not_of(kBlanks);
+  if (first == std::string_view::npos) return {};
+  return text.substr(first, text.find_last_not_of(kBlanks) - first + 1);
 }
 
+// Whether `text` is a token of RFC 9110: a method or the name of a field.
 bool IsToken(std::string_view text) {
-  if (text.empty()) return false;
-  return std::all_of(text.begin(), text.end(), [](char letter) {
-    return std::isalnum(static_cast<unsigned char>(letter)) ||
-           std::string_view("!#$%&'*+-.^_`|~").find(letter) != std::string_view::npos;
+  constexpr std::string_view kPunctuation = "!#$%&'*+-.^_`|~";
+  return !text.empty() && std::ranges::all_of(text, [&](char letter) {
+    return std::isalnum(static_cast<unsigned char>(letter)) != 0 ||
+           kPunctuation.find(letter) != std::string_view::npos;
   });
 }
 
+// Whether `target` is a path with a query, in visible ASCII only.
+bool IsTarget(std::string_view target) {
+  return target.starts_with('/') &&
+         std::ranges::all_of(target, [](char letter) { return letter > ' ' && letter < '\x7f'; });
+}
+
 // Decimal digits only, at most nine of them: no sign, no overflow.
-bool ParseNumber(std::string_view text, size_t* out) {
-  if (text.empty() || text.size() > 9) return false;
+std::optional<size_t> ParseNumber(std::string_view text) {
+  if (text.empty() || text.size() > kMaxNumberDigits) return std::nullopt;
   size_t number = 0;
-  for (char digit : text) {
-    if (digit < '0' || digit > '9') return false;
-    number = number * 10 + static_cast<size_t>(digit - '0');
+  for (const char digit : text) {
+    if (digit < '0' || digit > '9') return std::nullopt;
+    number = number * kDecimal + static_cast<size_t>(digit - '0');
   }
-  *out = number;
-  return true;
+  return number;
 }
 
-std::string_view Reason(int status) {
-  switch (status) {
-    case 200: return "OK";
-    case 201: return "Created";
-    case 400: return "Bad Request";
-    case 404: return "Not Found";
-    case 405: return "Method Not Allowed";
-    case 408: return "Request Timeout";
-    case 409: return "Conflict";
-    case 413: return "Content Too Large";
-    case 421: return "Misdirected Request";
-    case 422: return "Unprocessable Content";
-    case 429: return "Too Many Requests";
-    case 431: return "Request Header Fields Too Large";
-    case 501: return "Not Implemented";
-    case 503: return "Service Unavailable";
-    case 505: return "HTTP Version Not Supported";
-    default: return "Status";
-  }
+// The size in the line before a chunk: hexadecimal digits, up to the end or an extension.
+std::optional<size_t> ParseChunkSize(std::string_view line) {
+  const std::string_view digits = line.substr(0, line.find(';'));
+  if (digits.empty() || digits.size() > kMaxChunkSizeDigits) return std::nullopt;
+  size_t size = 0;
+  const char* end = digits.data() + digits.size();
+  const auto [parsed, error] = std::from_chars(digits.data(), end, size, kHexadecimal);
+  if (error != std::errc() || parsed != end) return std::nullopt;
+  return size;
+}
+
+struct StatusPhrase {
+  int status = 0;
+  std::string_view phrase;
+};
+
+// The statuses that this program and its clients send.
+constexpr auto kReasonPhrases =
+    std::to_array<StatusPhrase>({{200, "OK"},
+                                 {201, "Created"},
+                                 {400, "Bad Request"},
+                                 {404, "Not Found"},
+                                 {405, "Method Not Allowed"},
+                                 {408, "Request Timeout"},
+                                 {409, "Conflict"},
+                                 {413, "Content Too Large"},
+                                 {421, "Misdirected Request"},
+                                 {422, "Unprocessable Content"},
+                                 {429, "Too Many Requests"},
+                                 {431, "Request Header Fields Too Large"},
+                                 {501, "Not Implemented"},
+                                 {503, "Service Unavailable"},
+                                 {505, "HTTP Version Not Supported"}});
+
+std::string_view ReasonPhrase(int status) {
+  const auto entry = std::ranges::find(kReasonPhrases, status, &StatusPhrase::status);
+  return entry == kReasonPhrases.end() ? "Status" : entry->phrase;
 }
 
 }  // namespace
 
 bool Parser::ParseStartLine(std::string_view line) {
-  size_t first_space = line.find(' ');
-  if (first_space == std::string_view::npos) return false;
-  if (kind_ == Kind::kRequest) {
-    size_t second_space = line.find(' ', first_space + 1);
-    if (second_space == std::string_view::npos) return false;
-    std::string_view version = line.substr(second_space + 1);
-    if (version != "HTTP/1.1" && version != "HTTP/1.0") {
-      error_status_ = version.substr(0, 5) == "HTTP/" ? 505 : 400;
-      return false;
+  return kind_ == Kind::kRequest ? ParseRequestLine(line) : ParseStatusLine(line);
+}
+
+bool Parser::ParseRequestLine(std::string_view line) {
+  const size_t method_end = line.find(' ');
+  if (method_end == std::string_view::npos) return Refuse(kBadRequest);
+  const size_t target_end = line.find(' ', method_end + 1);
+  if (target_end == std::string_view::npos) return Refuse(kBadRequest);
+  const std::string_view version = line.substr(target_end + 1);
+  if (version != kVersion11 && version != kVersion10) {
+    return Refuse(version.starts_with("HTTP/") ? kVersionNotSupported : kBadRequest);
+  }
+  head_.method = line.substr(0, method_end);
+  head_.target = line.substr(method_end + 1, target_end - method_end - 1);
+  head_.close = version == kVersion10;
+  if (!IsToken(head_.method) || !IsTarget(head_.target)) return Refuse(kBadRequest);
+  return true;
+}
+
+bool Parser::ParseStatusLine(std::string_view line) {
+  constexpr size_t kStatusDigits = 3;
+  constexpr size_t kLeastStatus = 100;
+  const size_t version_end = line.find(' ');
+  if (version_end == std::string_view::npos) return Refuse(kBadRequest);
+  if (!line.starts_with("HTTP/1.")) return Refuse(kBadRequest);
+  const std::optional<size_t> status = ParseNumber(line.substr(version_end + 1, kStatusDigits));
+  if (!status || *status < kLeastStatus) return Refuse(kBadRequest);
+  head_.status = static_cast<int>(*status);
+  head_.close = line.substr(0, version_end) == kVersion10;
+  return true;
+}
+
+bool Parser::ParseField(std::string_view line) {
+  const size_t colon = line.find(':');
+  if (colon == std::string_view::npos) return Refuse(kBadRequest);
+  const std::string_view name = line.substr(0, colon);
+  if (!IsToken(name)) return Refuse(kBadRequest);
+  const std::string_view value = Trim(line.substr(colon + 1));
+  if (EqualsIgnoringCase(name, "content-length")) {
+    const std::optional<size_t> length = ParseNumber(value);
+    if (!length) return Refuse(kBadRequest);
+    // Two differing lengths are how requests get smuggled past a proxy.
+    if (content_length_ && *content_length_ != *length) return Refuse(kBadRequest);
+    content_length_ = length;
+  } else if (EqualsIgnoringCase(name, "transfer-encoding")) {
+    if (!EqualsIgnoringCase(value, "chunked")) return Refuse(kNotImplemented);
+    chunked_ = true;
+  } else if (EqualsIgnoringCase(name, "connection")) {
+    if (EqualsIgnoringCase(value, "close")) head_.close = true;
+    if (EqualsIgnoringCase(value, "keep-alive")) head_.close = false;
+  } else if (EqualsIgnoringCase(name, "retry-after")) {
+    // A date, the other form of this field, is ignored.
+    if (const std::optional<size_t> seconds = ParseNumber(value)) {
+      head_.retry_after_s = static_cast<int>(*seconds);
     }
-    head_.method = line.substr(0, first_space);
-    head_.target = line.substr(first_space + 1, second_space - first_space - 1);
-    head_.close = version == "HTTP/1.0";
-    if (!IsToken(head_.method)) return false;
-    if (head_.target.empty() || head_.target[0] != '/') return false;
-    return std::all_of(head_.target.begin(), head_.target.end(),
-                       [](char letter) { return letter > 0x20 && letter < 0x7f; });
   }
-  if (line.substr(0, 7) != "HTTP/1.") return false;
-  size_t status = 0;
-  if (!ParseNumber(line.substr(first_space + 1, 3), &status) || status < 100) return false;
-  head_.status = static_cast<int>(status);
-  head_.close = line.substr(0, first_space) == "HTTP/1.0";
   return true;
 }
 
-Parser::State Parser::ParseHead(size_t head_end) {
+bool Parser::ParseHead(std::string_view head) {
   head_ = Message();
-  error_status_ = 400;
-  std::string_view head(buffer_.data(), head_end);
-  size_t eol = head.find("\r\n");
-  std::string_view first = head.substr(0, eol);
-  if (!ParseStartLine(first)) return State::kError;
-  bool have_length = false;
   chunked_ = false;
-  body_len_ = 0;
-  size_t pos = eol == std::string_view::npos ? head.size() : eol + 2;
-  while (pos < head.size()) {
-    size_t end = head.find("\r\n", pos);
-    if (end == std::string_view::npos) end = head.size();
-    std::string_view line = head.substr(pos, end - pos);
-    pos = end + 2;
-    size_t colon = line.find(':');
-    if (colon == std::string_view::npos || !IsToken(line.substr(0, colon))) return Fail(400);
-    std::string_view name = line.substr(0, colon);
-    std::string_view value = Trim(line.substr(colon + 1));
-    if (EqualsNoCase(name, "content-length")) {
-      size_t number = 0;
-      if (!ParseNumber(value, &number)) return Fail(400);
-      // Two differing lengths are how requests get smuggled past a proxy.
-      if (have_length && number != body_len_) return Fail(400);
-      have_length = true;
-      body_len_ = number;
-    } else if (EqualsNoCase(name, "transfer-encoding")) {
-      if (!EqualsNoCase(value, "chunked")) return Fail(501);
-      chunked_ = true;
-    } else if (EqualsNoCase(name, "connection")) {
-      if (EqualsNoCase(value, "close")) head_.close = true;
-      if (EqualsNoCase(value, "keep-alive")) head_.close = false;
-    } else if (EqualsNoCase(name, "retry-after")) {
-      size_t number = 0;
-      if (ParseNumber(value, &number)) head_.retry_after_s = static_cast<int>(number);
-    }
+  content_length_.reset();
+  size_t end = std::min(head.find(kLineEnd), head.size());
+  if (!ParseStartLine(head.substr(0, end))) return false;
+  while (end < head.size()) {
+    head.remove_prefix(end + kLineEnd.size());
+    end = std::min(head.find(kLineEnd), head.size());
+    if (!ParseField(head.substr(0, end))) return false;
   }
-  if (chunked_ && have_length) return Fail(400);
-  if (body_len_ > limits_.body) return Fail(413);
+  if (chunked_ && content_length_) return Refuse(kBadRequest);
+  if (content_length_.value_or(0) > limits_.body) return Refuse(kContentTooLarge);
+  return true;
+}
+
+Parser::State Parser::NextHead() {
+  const size_t end = buffer_.find(kHeadEnd);
+  if (end == std::string::npos && buffer_.size() <= limits_.head) return State::kMore;
+  if (end == std::string::npos || end > limits_.head) return Fail(kHeadTooLarge);
+  if (!ParseHead(std::string_view(buffer_).substr(0, end))) return State::kError;
+  have_head_ = true;
+  body_start_ = end + kHeadEnd.size();
   return State::kMessage;
 }
 
-Parser::State Parser::Next(Message* out) {
-  if (!have_head_) {
-    size_t end = buffer_.find("\r\n\r\n");
-    if (end == std::string::npos) {
-      return buffer_.size() > limits_.head ? Fail(431) : State::kMore;
-    }
-    if (end > limits_.head) return Fail(431);
-    if (ParseHead(end) == State::kError) return State::kError;
-    have_head_ = true;
-    body_start_ = end + 4;
-  }
-  if (!chunked_) {
-    if (buffer_.size() - body_start_ < body_len_) return State::kMore;
-    *out = std::move(head_);
-    out->body = buffer_.substr(body_start_, body_len_);
-    buffer_.erase(0, body_start_ + body_len_);
-    have_head_ = false;
-    return State::kMessage;
-  }
+Parser::State Parser::NextSizedBody(Message* out) {
+  const size_t length = content_length_.value_or(0);
+  if (buffer_.size() - body_start_ < length) return State::kMore;
+  Complete(buffer_.substr(body_start_, length), body_start_ + length, out);
+  return State::kMessage;
+}
+
+Parser::State Parser::NextChunkedBody(Message* out) {
+  const std::string_view bytes = buffer_;
   std::string body;
-  size_t pos = body_start_;
+  size_t position = body_start_;
   while (true) {
-    size_t eol = buffer_.find("\r\n", pos);
-    if (eol == std::string::npos) {
-      return buffer_.size() - pos > 64 ? Fail(400) : State::kMore;
+    const size_t line_end = bytes.find(kLineEnd, position);
+    if (line_end == std::string_view::npos) {
+      return bytes.size() - position > kMaxChunkLine ? Fail(kBadRequest) : State::kMore;
     }
-    size_t len = 0;
-    size_t digits = 0;
-    for (size_t index = pos; index < eol && buffer_[index] != ';'; ++index, ++digits) {
-      unsigned char digit = static_cast<unsigned char>(buffer_[index]);
-      if (!std::isxdigit(digit) || digits >= 7) return Fail(400);
-      len = len * 16 +
-            static_cast<size_t>(std::isdigit(digit) ? digit - '0' : std::tolower(digit) - 'a' + 10);
-    }
-    if (digits == 0) return Fail(400);
-    if (body.size() + len > limits_.body) return Fail(413);
-    if (buffer_.size() < eol + 2 + len + 2) return State::kMore;
-    if (buffer_.compare(eol + 2 + len, 2, "\r\n") != 0) return Fail(400);
-    body.append(buffer_, eol + 2, len);
-    pos = eol + 2 + len + 2;
-    if (len == 0) break;
+    const std::optional<size_t> size = ParseChunkSize(bytes.substr(position, line_end - position));
+    if (!size) return Fail(kBadRequest);
+    if (body.size() + *size > limits_.body) return Fail(kContentTooLarge);
+    const size_t data = line_end + kLineEnd.size();
+    const size_t data_end = data + *size;
+    if (bytes.size() < data_end + kLineEnd.size()) return State::kMore;
+    if (bytes.substr(data_end, kLineEnd.size()) != kLineEnd) return Fail(kBadRequest);
+    body.append(bytes.substr(data, *size));
+    position = data_end + kLineEnd.size();
+    if (*size == 0) break;
   }
+  Complete(std::move(body), position, out);
+  return State::kMessage;
+}
+
+void Parser::Complete(std::string body, size_t end, Message* out) {
   *out = std::move(head_);
   out->body = std::move(body);
-  buffer_.erase(0, pos);
+  buffer_.erase(0, end);
   have_head_ = false;
-  return State::kMessage;
+}
+
+Parser::State Parser::Next(Message* out) {
+  if (!have_head_) {
+    const State state = NextHead();
+    if (state != State::kMessage) return state;
+  }
+  return chunked_ ? NextChunkedBody(out) : NextSizedBody(out);
 }
 
 std::string WriteRequest(std::string_view method, std::string_view target, std::string_view host,
                          std::string_view body) {
   std::string out;
-  out.reserve(128 + target.size() + body.size());
+  out.reserve(kUsualHead + target.size() + body.size());
   out.append(method).append(" ").append(target).append(" HTTP/1.1\r\nHost: ").append(host);
   out.append("\r\nContent-Type: application/msgpack\r\nContent-Length: ");
   out.append(std::to_string(body.size())).append("\r\n\r\n").append(body);
@@ -194,8 +259,8 @@
 
 std::string WriteResponse(int status, std::string_view body, bool close, int retry_after_s) {
   std::string out;
-  out.reserve(128 + body.size());
-  out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(Reason(status));
+  out.reserve(kUsualHead + body.size());
+  out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(ReasonPhrase(status));
   out.append("\r\nContent-Type: application/msgpack\r\nContent-Length: ");
   out.append(std::to_string(body.size()));
   if (retry_after_s > 0) out.append("\r\nRetry-After: ").append(std::to_string(retry_after_s));
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,9 +1,11 @@
-// HTTP/1.1 messages, an incremental parser for requests and responses, and writers
-// for both. Nothing here does I/O: callers pass bytes in and out.
+// HTTP/1.1 messages (RFC 9112), an incremental parser for requests and responses, and
+// writers for both. Nothing here does I/O: callers pass bytes in and out.
 #ifndef TROUTLINK_HTTP_MESSAGE_H_
 #define TROUTLINK_HTTP_MESSAGE_H_
 
 #include <cstddef>
+#include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 
@@ -22,19 +24,27 @@
   int retry_after_s = 0;  // responses: Retry-After
 };
 
-// The longest head and body that a parser accepts, in bytes.
+// The longest head (without the empty line that ends it) and body that a parser accepts, in
+// bytes.
 struct Limits {
-  size_t head = size_t{8} * 1024;
-  size_t body = size_t{64} * 1024;
+  static constexpr size_t kDefaultHead = size_t{8} * 1024;
+  static constexpr size_t kDefaultBody = size_t{64} * 1024;
+  size_t head = kDefaultHead;
+  size_t body = kDefaultBody;
 };
 
-// Takes bytes in pieces of any size and gives one message at a time.
+// Takes bytes in pieces of any size and gives one message at a time. Bodies are as long as
+// Content-Length says, or chunked without trailers; a message without either has no body.
 class Parser {
  public:
   // Which direction the bytes are of.
-  enum class Kind { kRequest, kResponse };
-  // More bytes are needed; a message is complete; the bytes are not acceptable.
-  enum class State { kMore, kMessage, kError };
+  enum class Kind : uint8_t { kRequest, kResponse };
+  // What the bytes so far hold.
+  enum class State : uint8_t {
+    kMore,     // not yet a whole message
+    kMessage,  // a whole message
+    kError,    // what is malformed, too long or not supported
+  };
 
   // Accepts messages of `kind` up to `limits`.
   Parser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
@@ -43,37 +53,60 @@
   void Feed(std::string_view bytes) { buffer_.append(bytes); }
   // Tries to complete a message and writes it to `out` for kMessage. After kError the
   // connection must be closed.
-  State Next(Message* out);
-  // After kError: the status that a server should answer.
-  int error_status() const { return error_status_; }
+  [[nodiscard]] State Next(Message* out);
+  // After kError: the HTTP status that a server should answer.
+  [[nodiscard]] int error_status() const { return error_status_; }
   // Whether no bytes wait to be parsed.
-  bool idle() const { return buffer_.empty(); }
+  [[nodiscard]] bool idle() const { return buffer_.empty(); }
 
  private:
+  static constexpr int kDefaultErrorStatus = 400;
+
+  // Each refuses what it reads with the status that a server should answer.
   State Fail(int status) {
     error_status_ = status;
     return State::kError;
   }
-  State ParseHead(size_t head_end);
+  bool Refuse(int status) {
+    error_status_ = status;
+    return false;
+  }
+
+  // Read parts of the head into `head_`, `content_length_` and `chunked_`; false when the part
+  // is refused.
+  bool ParseHead(std::string_view head);
   bool ParseStartLine(std::string_view line);
+  bool ParseRequestLine(std::string_view line);
+  bool ParseStatusLine(std::string_view line);
+  bool ParseField(std::string_view line);
+
+  // kMessage when the head is complete, and good.
+  State NextHead();
+  // Complete the message whose head was read.
+  State NextSizedBody(Message* out);
+  State NextChunkedBody(Message* out);
+  // Gives the message with `body` and drops its bytes, which end at `end`.
+  void Complete(std::string body, size_t end, Message* out);
 
   Kind kind_;
   Limits limits_;
-  std::string buffer_;
+  std::string buffer_;  // bytes from the start of the message in progress
   bool have_head_ = false;
-  bool chunked_ = false;
-  size_t body_start_ = 0;
-  size_t body_len_ = 0;
+  // Of the head, once it was read.
   Message head_;
-  int error_status_ = 400;
+  std::optional<size_t> content_length_;
+  bool chunked_ = false;
+  size_t body_start_ = 0;  // where the body begins in `buffer_`
+  int error_status_ = kDefaultErrorStatus;
 };
 
 // A request with a MessagePack body, ready to send.
-std::string WriteRequest(std::string_view method, std::string_view target, std::string_view host,
-                         std::string_view body);
-// A response with a MessagePack body, ready to send; `retry_after_s` 0 leaves out
-// Retry-After.
-std::string WriteResponse(int status, std::string_view body, bool close, int retry_after_s);
+[[nodiscard]] std::string WriteRequest(std::string_view method, std::string_view target,
+                                       std::string_view host, std::string_view body);
+// A response with a MessagePack body, ready to send. `close` announces that the connection
+// will be closed after it; `retry_after_s` 0 leaves out Retry-After.
+[[nodiscard]] std::string WriteResponse(int status, std::string_view body, bool close,
+                                        int retry_after_s);
 
 }  // namespace troutlink::http
 
--- a/src/mesh/codec.cc
+++ b/src/mesh/codec.cc
@@ -1,13 +1,25 @@
 #include "mesh/codec.h"
 
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <variant>
+#include <vector>
+
+#include "mesh/messages.h"
+#include "mesh/varint.h"
+
 namespace troutlink::mesh {
 namespace {
 
+// The longest list that is decoded.
 constexpr uint64_t kMaxItems = 100000;
 
-// A kind keeps its form: a changed one gets a new number, so that a node of another
-// release skips it. 0 and 1 were heartbeats that told of a node's own cancels only.
-enum Kind : uint64_t {
+// The number of a message's kind in its frame. A kind keeps its form: a changed one gets a new
+// number, so that a node of another release skips it. 0 and 1 were heartbeats that told of a
+// node's own cancels only.
+enum class Kind : uint8_t {
   kRelay = 2,
   kRelayReply = 3,
   kForward = 4,
@@ -16,12 +28,89 @@
   kPong = 7,
 };
 
-void PutText(std::string* out, std::string_view text) {
+Kind KindOf(const Ping&) { return Kind::kPing; }
+Kind KindOf(const Pong&) { return Kind::kPong; }
+Kind KindOf(const Relay&) { return Kind::kRelay; }
+Kind KindOf(const RelayReply&) { return Kind::kRelayReply; }
+Kind KindOf(const Forward&) { return Kind::kForward; }
+Kind KindOf(const ForwardReply&) { return Kind::kForwardReply; }
+
+// Put() appends a value to a frame's content. Overloads: integers, texts, the structs of
+// messages.h in the order of their fields, and lists of any of them.
+void Put(std::string* out, uint64_t value) { PutVarint(out, value); }
+
+void Put(std::string* out, const std::string& text) {
   PutVarint(out, text.size());
   out->append(text);
 }
 
-bool GetText(std::string_view* in, std::string* text) {
+template <typename Item>
+void Put(std::string* out, const std::vector<Item>& list);
+
+void Put(std::string* out, const ShardEpoch& epoch) {
+  Put(out, epoch.shard_id);
+  Put(out, epoch.revision);
+  Put(out, epoch.leader);
+}
+
+void Put(std::string* out, const CachedImages& cached) {
+  Put(out, cached.machine);
+  Put(out, cached.images);
+}
+
+void Put(std::string* out, const SilentMachine& silent) {
+  Put(out, silent.machine);
+  Put(out, silent.silent_us);
+}
+
+void Put(std::string* out, const Heartbeat& heartbeat) {
+  Put(out, heartbeat.seq);
+  Put(out, heartbeat.state_age_us);
+  Put(out, heartbeat.epochs);
+  Put(out, heartbeat.cancels);
+  Put(out, heartbeat.cancels_from);
+  Put(out, heartbeat.seen);
+  Put(out, heartbeat.wanted);
+  Put(out, heartbeat.cached_images);
+  Put(out, heartbeat.silent_machines);
+}
+
+void Put(std::string* out, const Relay& relay) {
+  Put(out, relay.id);
+  Put(out, relay.body);
+}
+
+void Put(std::string* out, const RelayReply& reply) {
+  Put(out, reply.id);
+  Put(out, reply.status);
+  Put(out, reply.body);
+}
+
+void Put(std::string* out, const Forward& forward) {
+  Put(out, forward.id);
+  Put(out, forward.method);
+  Put(out, forward.target);
+  Put(out, forward.body);
+}
+
+void Put(std::string* out, const ForwardReply& reply) {
+  Put(out, reply.id);
+  Put(out, reply.status);
+  Put(out, reply.retry_after_s);
+  Put(out, reply.body);
+}
+
+template <typename Item>
+void Put(std::string* out, const std::vector<Item>& list) {
+  Put(out, uint64_t{list.size()});
+  for (const Item& item : list) Put(out, item);
+}
+
+// Get() reads what Put() wrote from the front of `in` and advances it; false when it ends
+// early or is malformed.
+bool Get(std::string_view* in, uint64_t* value) { return GetVarint(in, value); }
+
+bool Get(std::string_view* in, std::string* text) {
   uint64_t size = 0;
   if (!GetVarint(in, &size) || size > in->size()) return false;
   text->assign(in->substr(0, size));
@@ -29,201 +118,95 @@
   return true;
 }
 
-bool GetLength(std::string_view* in, uint64_t* length) {
-  // Every item takes at least a byte: a longer list is a lie.
-  return GetVarint(in, length) && *length <= in->size() && *length <= kMaxItems;
+template <typename Item>
+bool Get(std::string_view* in, std::vector<Item>* list);
+
+bool Get(std::string_view* in, ShardEpoch* epoch) {
+  return Get(in, &epoch->shard_id) && Get(in, &epoch->revision) && Get(in, &epoch->leader);
 }
 
-void PutHeartbeat(std::string* out, const Heartbeat& heartbeat) {
-  PutVarint(out, heartbeat.seq);
-  PutVarint(out, heartbeat.state_age_us);
-  PutVarint(out, heartbeat.epochs.size());
-  for (const ShardEpoch& epoch : heartbeat.epochs) {
-    PutVarint(out, epoch.shard_id);
-    PutVarint(out, epoch.revision);
-    PutText(out, epoch.leader);
-  }
-  PutVarint(out, heartbeat.cancels.size());
-  for (const std::string& job : heartbeat.cancels) PutText(out, job);
-  PutVarint(out, heartbeat.cancels_from);
-  PutVarint(out, heartbeat.seen);
-  PutVarint(out, heartbeat.wanted.size());
-  for (uint64_t shard_id : heartbeat.wanted) PutVarint(out, shard_id);
-  PutVarint(out, heartbeat.cached_images.size());
-  for (const CachedImages& cached : heartbeat.cached_images) {
-    PutText(out, cached.machine);
-    PutVarint(out, cached.images.size());
-    for (const std::string& image : cached.images) PutText(out, image);
-  }
-  PutVarint(out, heartbeat.silent_machines.size());
-  for (const SilentMachine& silent : heartbeat.silent_machines) {
-    PutText(out, silent.machine);
-    PutVarint(out, silent.silent_us);
-  }
+bool Get(std::string_view* in, CachedImages* cached) {
+  return Get(in, &cached->machine) && Get(in, &cached->images);
+}
+
+bool Get(std::string_view* in, SilentMachine* silent) {
+  return Get(in, &silent->machine) && Get(in, &silent->silent_us);
+}
+
+bool Get(std::string_view* in, Heartbeat* heartbeat) {
+  return Get(in, &heartbeat->seq) && Get(in, &heartbeat->state_age_us) &&
+         Get(in, &heartbeat->epochs) && Get(in, &heartbeat->cancels) &&
+         Get(in, &heartbeat->cancels_from) && Get(in, &heartbeat->seen) &&
+         Get(in, &heartbeat->wanted) && Get(in, &heartbeat->cached_images) &&
+         Get(in, &heartbeat->silent_machines);
+}
+
+bool Get(std::string_view* in, Relay* relay) {
+  return Get(in, &relay->id) && Get(in, &relay->body);
+}
+
+bool Get(std::string_view* in, RelayReply* reply) {
+  return Get(in, &reply->id) && Get(in, &reply->status) && Get(in, &reply->body);
 }
 
-bool GetHeartbeat(std::string_view* in, Heartbeat* heartbeat) {
+bool Get(std::string_view* in, Forward* forward) {
+  return Get(in, &forward->id) && Get(in, &forward->method) && Get(in, &forward->target) &&
+         Get(in, &forward->body);
+}
+
+bool Get(std::string_view* in, ForwardReply* reply) {
+  return Get(in, &reply->id) && Get(in, &reply->status) && Get(in, &reply->retry_after_s) &&
+         Get(in, &reply->body);
+}
+
+template <typename Item>
+bool Get(std::string_view* in, std::vector<Item>* list) {
   uint64_t length = 0;
-  if (!GetVarint(in, &heartbeat->seq) || !GetVarint(in, &heartbeat->state_age_us) ||
-      !GetLength(in, &length)) {
-    return false;
-  }
-  heartbeat->epochs.resize(length);
-  for (ShardEpoch& epoch : heartbeat->epochs) {
-    if (!GetVarint(in, &epoch.shard_id) || !GetVarint(in, &epoch.revision) ||
-        !GetText(in, &epoch.leader)) {
-      return false;
-    }
-  }
-  if (!GetLength(in, &length)) return false;
-  heartbeat->cancels.resize(length);
-  for (std::string& job : heartbeat->cancels) {
-    if (!GetText(in, &job)) return false;
-  }
-  if (!GetVarint(in, &heartbeat->cancels_from) || !GetVarint(in, &heartbeat->seen)) return false;
-  if (!GetLength(in, &length)) return false;
-  heartbeat->wanted.resize(length);
-  for (uint64_t& shard_id : heartbeat->wanted) {
-    if (!GetVarint(in, &shard_id)) return false;
-  }
-  if (!GetLength(in, &length)) return false;
-  heartbeat->cached_images.resize(length);
-  for (CachedImages& cached : heartbeat->cached_images) {
-    if (!GetText(in, &cached.machine) || !GetLength(in, &length)) return false;
-    cached.images.resize(length);
-    for (std::string& image : cached.images) {
-      if (!GetText(in, &image)) return false;
-    }
-  }
-  if (!GetLength(in, &length)) return false;
-  heartbeat->silent_machines.resize(length);
-  for (SilentMachine& silent : heartbeat->silent_machines) {
-    if (!GetText(in, &silent.machine) || !GetVarint(in, &silent.silent_us)) return false;
+  if (!GetVarint(in, &length)) return false;
+  // Every item takes at least a byte: a longer list is malformed, and nothing is reserved for it.
+  if (length > in->size() || length > kMaxItems) return false;
+  list->resize(length);
+  for (Item& item : *list) {
+    if (!Get(in, &item)) return false;
   }
   return true;
 }
 
-}  // namespace
-
-void PutVarint(std::string* out, uint64_t value) {
-  while (value >= 0x80) {
-    out->push_back(static_cast<char>((value & 0x7f) | 0x80));
-    value >>= 7;
-  }
-  out->push_back(static_cast<char>(value));
-}
-
-bool GetVarint(std::string_view* in, uint64_t* value) {
-  *value = 0;
-  for (int shift = 0; shift < 64; shift += 7) {
-    if (in->empty()) return false;
-    uint8_t byte = static_cast<uint8_t>(in->front());
-    in->remove_prefix(1);
-    if (shift == 63 && byte > 1) return false;
-    *value |= static_cast<uint64_t>(byte & 0x7f) << shift;
-    if ((byte & 0x80) == 0) return true;
-  }
-  return false;
+// The message of type `Payload` whose fields are `fields`.
+template <typename Payload>
+std::optional<Message> DecodeAs(std::string_view fields) {
+  Payload message;
+  if (!Get(&fields, &message)) return std::nullopt;
+  return message;
 }
 
+}  // namespace
+
 std::string Encode(const Message& message) {
-  std::string body;
-  if (const auto* ping = std::get_if<Ping>(&message)) {
-    PutVarint(&body, kPing);
-    PutHeartbeat(&body, *ping);
-  } else if (const auto* pong = std::get_if<Pong>(&message)) {
-    PutVarint(&body, kPong);
-    PutHeartbeat(&body, *pong);
-  } else if (const auto* relay = std::get_if<Relay>(&message)) {
-    PutVarint(&body, kRelay);
-    PutVarint(&body, relay->id);
-    PutText(&body, relay->body);
-  } else if (const auto* reply = std::get_if<RelayReply>(&message)) {
-    PutVarint(&body, kRelayReply);
-    PutVarint(&body, reply->id);
-    PutVarint(&body, reply->status);
-    PutText(&body, reply->body);
-  } else if (const auto* forward = std::get_if<Forward>(&message)) {
-    PutVarint(&body, kForward);
-    PutVarint(&body, forward->id);
-    PutText(&body, forward->method);
-    PutText(&body, forward->target);
-    PutText(&body, forward->body);
-  } else if (const auto* answer = std::get_if<ForwardReply>(&message)) {
-    PutVarint(&body, kForwardReply);
-    PutVarint(&body, answer->id);
-    PutVarint(&body, answer->status);
-    PutVarint(&body, answer->retry_after_s);
-    PutText(&body, answer->body);
-  }
-  std::string out;
-  PutVarint(&out, body.size());
-  return out + body;
+  std::string content;
+  std::visit(
+      [&content](const auto& payload) {
+        Put(&content, static_cast<uint64_t>(KindOf(payload)));
+        Put(&content, payload);
+      },
+      message);
+  std::string frame;
+  PutVarint(&frame, content.size());
+  return frame + content;
 }
 
-std::optional<Message> Decode(std::string_view in) {
+std::optional<Message> Decode(std::string_view content) {
   uint64_t kind = 0;
-  if (!GetVarint(&in, &kind)) return std::nullopt;
+  if (!GetVarint(&content, &kind)) return std::nullopt;
   switch (kind) {
-    case kPing: {
-      Ping message;
-      if (GetHeartbeat(&in, &message)) return message;
-      break;
-    }
-    case kPong: {
-      Pong message;
-      if (GetHeartbeat(&in, &message)) return message;
-      break;
-    }
-    case kRelay: {
-      Relay message;
-      if (GetVarint(&in, &message.id) && GetText(&in, &message.body)) return message;
-      break;
-    }
-    case kRelayReply: {
-      RelayReply message;
-      if (GetVarint(&in, &message.id) && GetVarint(&in, &message.status) &&
-          GetText(&in, &message.body))
-        return message;
-      break;
-    }
-    case kForward: {
-      Forward message;
-      if (GetVarint(&in, &message.id) && GetText(&in, &message.method) &&
-          GetText(&in, &message.target) && GetText(&in, &message.body)) {
-        return message;
-      }
-      break;
-    }
-    case kForwardReply: {
-      ForwardReply message;
-      if (GetVarint(&in, &message.id) && GetVarint(&in, &message.status) &&
-          GetVarint(&in, &message.retry_after_s) && GetText(&in, &message.body)) {
-        return message;
-      }
-      break;
-    }
-    default: break;
+    case static_cast<uint64_t>(Kind::kPing): return DecodeAs<Ping>(content);
+    case static_cast<uint64_t>(Kind::kPong): return DecodeAs<Pong>(content);
+    case static_cast<uint64_t>(Kind::kRelay): return DecodeAs<Relay>(content);
+    case static_cast<uint64_t>(Kind::kRelayReply): return DecodeAs<RelayReply>(content);
+    case static_cast<uint64_t>(Kind::kForward): return DecodeAs<Forward>(content);
+    case static_cast<uint64_t>(Kind::kForwardReply): return DecodeAs<ForwardReply>(content);
+    default: return std::nullopt;
   }
-  return std::nullopt;
-}
-
-bool Framer::Next(std::string* frame, bool* bad) {
-  *bad = false;
-  std::string_view in = buffer_;
-  uint64_t size = 0;
-  if (!GetVarint(&in, &size)) {
-    *bad = buffer_.size() >= 10;
-    return false;
-  }
-  if (size > kMaxFrame) {
-    *bad = true;
-    return false;
-  }
-  if (in.size() < size) return false;
-  frame->assign(in.substr(0, size));
-  buffer_.erase(0, buffer_.size() - in.size() + size);
-  return true;
 }
 
 }  // namespace troutlink::mesh
--- a/src/wire/pack.cc
+++ b/src/wire/pack.cc
@@ -86,6 +86,12 @@
   return std::nullopt;
 }
 
+std::optional<int64_t> Integer(const Json& map, const char* key) {
+  const Json* value = Find(map, key);
+  if (value == nullptr || !value->is_number_integer()) return std::nullopt;
+  return value->get<int64_t>();
+}
+
 std::optional<double> Number(const Json& map, const char* key) {
   const Json* value = Find(map, key);
   if (value == nullptr || !value->is_number()) return std::nullopt;
--- a/src/wire/pack.h
+++ b/src/wire/pack.h
@@ -4,6 +4,7 @@
 #ifndef TROUTLINK_WIRE_PACK_H_
 #define TROUTLINK_WIRE_PACK_H_
 
+#include <cstdint>
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
@@ -31,6 +32,8 @@
 std::optional<std::string> Text(const Json& map, const char* key);
 // The field as an integer that is not negative.
 std::optional<uint64_t> Count(const Json& map, const char* key);
+// The field as an integer of 64 bits, which may be negative.
+std::optional<int64_t> Integer(const Json& map, const char* key);
 // The field as a finite number.
 std::optional<double> Number(const Json& map, const char* key);
 // The field as a boolean.
--- a/src/wire/user.cc
+++ b/src/wire/user.cc
@@ -1,158 +1,155 @@
-// Users' side of the wire.
+// The interface for users: submissions, polls and aborts of jobs.
 #include <algorithm>
+#include <array>
 #include <cmath>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
 
 #include "base/ids.h"
+#include "base/micros.h"
+#include "base/result.h"
+#include "wire/field_checker.h"
 #include "wire/messages.h"
 #include "wire/pack.h"
+#include "wire/types.h"
+#include "wire/words.h"
 
 namespace troutlink::wire {
 namespace {
 
-constexpr double kMaxAmount = 1e6;
+// Limits of a submission.
+constexpr double kMaxAmount = 1e6;  // cpus, gpus or gigabytes of a task
 constexpr double kMaxSeconds = 1e8;
 constexpr int kMaxTasks = 100000;
-constexpr size_t kMaxText = 200;
-constexpr size_t kMaxTypes = 64;
-
-// Required: present, a number, finite, within [0, most].
-bool ReadAmount(const Json& map, const char* key, double most, double* out, std::string* why) {
-  std::optional<double> value = Number(map, key);
-  if (!value || *value < 0 || *value > most) {
-    *why = std::string(key) + " must be a number from 0 to " + std::to_string(most);
-    return false;
-  }
-  *out = *value;
-  return true;
+constexpr size_t kMaxMachineTypes = 64;
+
+// Fields of a submission.
+constexpr const char* kId = "name_id";
+constexpr const char* kJobClass = "docket";
+constexpr const char* kTeam = "owner";
+constexpr const char* kKind = "form";
+constexpr const char* kPriority = "rank";
+constexpr const char* kTasks = "pieces";
+constexpr const char* kCpus = "cpus";
+constexpr const char* kGpus = "cards";
+constexpr const char* kMemoryGb = "memory_gb";
+constexpr const char* kImage = "bundle";
+constexpr const char* kImageGb = "size_gb";
+constexpr const char* kMachineTypes = "builds";
+constexpr const char* kZone = "room";
+constexpr const char* kOneZone = "together";
+constexpr const char* kSpread = "spread";
+constexpr const char* kSpot = "loaners";
+constexpr const char* kEstimateSeconds = "expect_s";
+constexpr const char* kCheckpointSeconds = "bookmark_s";
+constexpr const char* kSaveSeconds = "stash_s";
+constexpr const char* kDeadlineSeconds = "due_s";
+constexpr const char* kDependencies = "awaits";
+// Fields of answers, besides the id.
+constexpr const char* kPhase = "status";
+constexpr const char* kDoneTasks = "done";
+constexpr const char* kRunningTasks = "running";
+constexpr const char* kError = "error";
+
+constexpr auto kKindWords = std::to_array<EnumWord<JobKind>>(
+    {{JobKind::kArray, "array"}, {JobKind::kService, "service"}, {JobKind::kGang, "gang"}});
+constexpr auto kPriorityWords =
+    std::to_array<EnumWord<Priority>>({{Priority::kLow, "low"},
+                                       {Priority::kNormal, "standard"},
+                                       {Priority::kHigh, "urgent"},
+                                       {Priority::kProduction, "critical"}});
+constexpr auto kPhaseWords =
+    std::to_array<EnumWord<JobPhase>>({{JobPhase::kQueued, "queued"},
+                                       {JobPhase::kRunning, "running"},
+                                       {JobPhase::kDone, "done"},
+                                       {JobPhase::kCancelled, "cancelled"}});
+
+constexpr double kThousandthsPerUnit = 1000;
+
+// `value` in thousandths, rounded up but for errors of the representation.
+int64_t ThousandthsUp(double value) {
+  constexpr double kRepresentationError = 1e-6;
+  return std::llround(std::ceil(value * kThousandthsPerUnit - kRepresentationError));
 }
 
-bool ReadText(const Json& map, const char* key, std::string* out, std::string* why) {
-  std::optional<std::string> value = Text(map, key);
-  if (!value || value->empty() || value->size() > kMaxText) {
-    *why = std::string(key) + " must be a text of 1 to 200 bytes";
-    return false;
-  }
-  *out = *value;
-  return true;
+double FromThousandths(int64_t value) { return static_cast<double>(value) / kThousandthsPerUnit; }
+
+// The words of the enums as they stand in the document, which are checked after all the
+// required fields have been read.
+struct SpecWords {
+  std::string kind;
+  std::string priority;
+};
+
+// The required texts, numbers and flags; the words are left to ReadWords().
+SpecWords ReadRequired(FieldChecker* fields, JobSpec* spec) {
+  SpecWords words;
+  spec->id = fields->RequiredText(kId);
+  spec->job_class = fields->RequiredText(kJobClass);
+  spec->team = fields->RequiredText(kTeam);
+  words.kind = fields->RequiredText(kKind);
+  words.priority = fields->RequiredText(kPriority);
+  spec->image = fields->RequiredText(kImage);
+  spec->each.cpus = ThousandthsUp(fields->RequiredNumber(kCpus, kMaxAmount));
+  spec->each.gpus = ThousandthsUp(fields->RequiredNumber(kGpus, kMaxAmount));
+  spec->each.memory = ThousandthsUp(fields->RequiredNumber(kMemoryGb, kMaxAmount));
+  spec->image_gb = fields->RequiredNumber(kImageGb, kMaxAmount);
+  spec->estimate = FromSeconds(fields->RequiredNumber(kEstimateSeconds, kMaxSeconds));
+  spec->checkpoint = FromSeconds(fields->RequiredNumber(kCheckpointSeconds, kMaxSeconds));
+  spec->save = FromSeconds(fields->RequiredNumber(kSaveSeconds, kMaxSeconds));
+  spec->one_zone = fields->RequiredFlag(kOneZone);
+  spec->spread = fields->RequiredFlag(kSpread);
+  spec->spot = fields->RequiredFlag(kSpot);
+  return words;
 }
 
-bool ReadFlag(const Json& map, const char* key, bool* out, std::string* why) {
-  const Json* value = Find(map, key);
-  if (value == nullptr || !value->is_boolean()) {
-    *why = std::string(key) + " must be a boolean";
-    return false;
-  }
-  *out = value->get<bool>();
-  return true;
+// Checks the form of the id and reads the words of the enums.
+void ReadWords(const SpecWords& words, FieldChecker* fields, JobSpec* spec) {
+  if (!IsJobId(spec->id)) fields->FailField(kId, "must be job- and up to 32 digits");
+  const std::optional<JobKind> kind = ParseWord(kKindWords, words.kind);
+  if (!kind) fields->FailField(kKind, "must be array, gang or service");
+  spec->kind = kind.value_or(spec->kind);
+  const std::optional<Priority> priority = ParseWord(kPriorityWords, words.priority);
+  if (!priority) fields->FailField(kPriority, "must be critical, urgent, standard or low");
+  spec->priority = priority.value_or(spec->priority);
 }
 
-int64_t Milli(double value) { return std::llround(std::ceil(value * 1000.0 - 1e-6)); }
-
-constexpr std::string_view kPhases[] = {"queued", "running", "done", "cancelled"};
-
-std::string_view PhaseWord(JobPhase phase) { return kPhases[static_cast<size_t>(phase)]; }
-
-std::optional<JobPhase> ParsePhase(std::string_view word) {
-  for (size_t index = 0; index < std::size(kPhases); ++index) {
-    if (kPhases[index] == word) return static_cast<JobPhase>(index);
-  }
-  return std::nullopt;
+std::vector<std::string> ReadMachineTypes(FieldChecker* fields) {
+  std::vector<std::string> types = fields->OptionalTexts(kMachineTypes);
+  if (types.size() > kMaxMachineTypes) fields->FailTexts(kMachineTypes);
+  // A list that allows nothing is not the same as null.
+  if (types.empty() && fields->Has(kMachineTypes)) types.emplace_back();
+  return types;
 }
 
-// Optional: a list of texts, or null.
-bool ReadTexts(const Json& map, const char* key, std::vector<std::string>* out, std::string* why) {
-  const Json* list = Find(map, key);
-  if (list == nullptr) return true;
-  *why = std::string(key) + " must be a list of texts or null";
-  if (!list->is_array()) return false;
-  for (const Json& text : *list) {
-    if (!text.is_string() || text.get_ref<const std::string&>().size() > kMaxText) return false;
-    out->push_back(text.get<std::string>());
-  }
-  why->clear();
-  return true;
+// The dependencies in order, each of them once.
+std::vector<std::string> ReadDependencies(FieldChecker* fields) {
+  std::vector<std::string> jobs = fields->OptionalTexts(kDependencies);
+  std::ranges::sort(jobs);
+  jobs.erase(std::unique(jobs.begin(), jobs.end()), jobs.end());
+  return jobs;
 }
 
-// Nothing, and why, when a field is missing or out of its range.
-std::optional<JobSpec> ReadSpec(const Json& map, std::string* why) {
-  JobSpec spec;
-  std::string kind, priority;
-  double cpus = 0, gpus = 0, memory = 0, gb = 0, estimate = 0, checkpoint = 0, save = 0;
-  if (!ReadText(map, "name_id", &spec.id, why) || !ReadText(map, "docket", &spec.job_class, why) ||
-      !ReadText(map, "owner", &spec.team, why) || !ReadText(map, "form", &kind, why) ||
-      !ReadText(map, "rank", &priority, why) || !ReadText(map, "bundle", &spec.image, why) ||
-      !ReadAmount(map, "cpus", kMaxAmount, &cpus, why) ||
-      !ReadAmount(map, "cards", kMaxAmount, &gpus, why) ||
-      !ReadAmount(map, "memory_gb", kMaxAmount, &memory, why) ||
-      !ReadAmount(map, "size_gb", kMaxAmount, &gb, why) ||
-      !ReadAmount(map, "expect_s", kMaxSeconds, &estimate, why) ||
-      !ReadAmount(map, "bookmark_s", kMaxSeconds, &checkpoint, why) ||
-      !ReadAmount(map, "stash_s", kMaxSeconds, &save, why) ||
-      !ReadFlag(map, "together", &spec.one_zone, why) ||
-      !ReadFlag(map, "spread", &spec.spread, why) || !ReadFlag(map, "loaners", &spec.spot, why)) {
-    return std::nullopt;
-  }
-  if (!IsJobId(spec.id)) {
-    *why = "name_id must be job- and up to 32 digits";
-    return std::nullopt;
+void ReadOptional(FieldChecker* fields, JobSpec* spec) {
+  spec->types = ReadMachineTypes(fields);
+  spec->dependencies = ReadDependencies(fields);
+  if (fields->Has(kZone)) spec->zone = fields->RequiredText(kZone);
+  if (fields->Has(kDeadlineSeconds)) {
+    const Micros deadline = FromSeconds(fields->RequiredNumber(kDeadlineSeconds, kMaxSeconds));
+    // 0 stands for no deadline.
+    spec->deadline = std::max<Micros>(1, deadline);
   }
-  if (kind == "array") {
-    spec.kind = JobKind::kArray;
-  } else if (kind == "service") {
-    spec.kind = JobKind::kService;
-  } else if (kind == "gang") {
-    spec.kind = JobKind::kGang;
-  } else {
-    *why = "form must be array, gang or service";
-    return std::nullopt;
-  }
-  if (priority == "critical") {
-    spec.priority = Priority::kProduction;
-  } else if (priority == "urgent") {
-    spec.priority = Priority::kHigh;
-  } else if (priority == "standard") {
-    spec.priority = Priority::kNormal;
-  } else if (priority == "low") {
-    spec.priority = Priority::kLow;
-  } else {
-    *why = "rank must be critical, urgent, standard or low";
-    return std::nullopt;
-  }
-  std::optional<uint64_t> tasks = Count(map, "pieces");
-  if (!tasks || *tasks < 1 || *tasks > kMaxTasks) {
-    *why = "pieces must be an integer from 1 to 100000";
-    return std::nullopt;
-  }
-  spec.tasks = static_cast<int>(*tasks);
-  spec.each = {Milli(cpus), Milli(gpus), Milli(memory)};
-  spec.image_gb = gb;
-  spec.estimate = FromSeconds(estimate);
-  spec.checkpoint = FromSeconds(checkpoint);
-  spec.save = FromSeconds(save);
-  if (!ReadTexts(map, "builds", &spec.types, why)) return std::nullopt;
-  if (spec.types.size() > kMaxTypes) {
-    *why = "builds must be a list of texts or null";
-    return std::nullopt;
-  }
-  // A list that allows nothing is not the same as null.
-  if (spec.types.empty() && Find(map, "builds") != nullptr) spec.types.push_back("");
-  if (!ReadTexts(map, "awaits", &spec.dependencies, why)) return std::nullopt;
-  std::sort(spec.dependencies.begin(), spec.dependencies.end());
-  spec.dependencies.erase(std::unique(spec.dependencies.begin(), spec.dependencies.end()),
-                          spec.dependencies.end());
-  if (Find(map, "room") != nullptr && !ReadText(map, "room", &spec.zone, why)) return std::nullopt;
-  if (Find(map, "due_s") != nullptr) {
-    double due = 0;
-    if (!ReadAmount(map, "due_s", kMaxSeconds, &due, why)) return std::nullopt;
-    spec.deadline = std::max<Micros>(1, FromSeconds(due));
-  }
-  return spec;
 }
 
 }  // namespace
 
 SpecResult DecodeSubmission(std::string_view body) {
-  std::optional<Json> doc = UnpackStrict(body);
+  const std::optional<Json> doc = UnpackStrict(body);
   if (!doc || !doc->is_object()) {
     return Error<SubmissionFault>{SubmissionFault::kNotAMap,
                                   "body must be one MessagePack map keyed by text"};
@@ -161,86 +158,79 @@
 }
 
 SpecResult DecodeSpec(const Json& map) {
-  std::string why;
-  std::optional<JobSpec> spec = ReadSpec(map, &why);
-  if (!spec) return Error<SubmissionFault>{SubmissionFault::kBadField, std::move(why)};
-  return std::move(*spec);
+  FieldChecker fields(map);
+  JobSpec spec;
+  const SpecWords words = ReadRequired(&fields, &spec);
+  ReadWords(words, &fields, &spec);
+  spec.tasks = fields.RequiredCount(kTasks, kMaxTasks);
+  ReadOptional(&fields, &spec);
+  if (!fields.error().empty()) {
+    return Error<SubmissionFault>{SubmissionFault::kBadField, fields.error()};
+  }
+  return spec;
 }
 
 Json EncodeSpec(const JobSpec& spec) {
-  static constexpr const char* kPriorities[] = {"low", "standard", "urgent", "critical"};
-  Json map = {{"name_id", spec.id},
-              {"docket", spec.job_class},
-              {"owner", spec.team},
-              {"form", spec.kind == JobKind::kArray     ? "array"
-                       : spec.kind == JobKind::kService ? "service"
-                                                        : "gang"},
-              {"rank", kPriorities[static_cast<int>(spec.priority)]},
-              {"pieces", spec.tasks},
-              {"cpus", static_cast<double>(spec.each.cpus) / 1000.0},
-              {"cards", static_cast<double>(spec.each.gpus) / 1000.0},
-              {"memory_gb", static_cast<double>(spec.each.memory) / 1000.0},
-              {"bundle", spec.image},
-              {"size_gb", spec.image_gb},
-              {"together", spec.one_zone},
-              {"spread", spec.spread},
-              {"loaners", spec.spot},
-              {"expect_s", ToSeconds(spec.estimate)},
-              {"bookmark_s", ToSeconds(spec.checkpoint)},
-              {"stash_s", ToSeconds(spec.save)}};
-  if (!spec.types.empty()) map["builds"] = spec.types;
-  if (!spec.zone.empty()) map["room"] = spec.zone;
-  if (spec.deadline > 0) map["due_s"] = ToSeconds(spec.deadline);
-  if (!spec.dependencies.empty()) map["awaits"] = spec.dependencies;
+  Json map = {{kId, spec.id},
+              {kJobClass, spec.job_class},
+              {kTeam, spec.team},
+              {kKind, WordOf(kKindWords, spec.kind)},
+              {kPriority, WordOf(kPriorityWords, spec.priority)},
+              {kTasks, spec.tasks},
+              {kCpus, FromThousandths(spec.each.cpus)},
+              {kGpus, FromThousandths(spec.each.gpus)},
+              {kMemoryGb, FromThousandths(spec.each.memory)},
+              {kImage, spec.image},
+              {kImageGb, spec.image_gb},
+              {kOneZone, spec.one_zone},
+              {kSpread, spec.spread},
+              {kSpot, spec.spot},
+              {kEstimateSeconds, ToSeconds(spec.estimate)},
+              {kCheckpointSeconds, ToSeconds(spec.checkpoint)},
+              {kSaveSeconds, ToSeconds(spec.save)}};
+  if (!spec.types.empty()) map[kMachineTypes] = spec.types;
+  if (!spec.zone.empty()) map[kZone] = spec.zone;
+  if (spec.deadline > 0) map[kDeadlineSeconds] = ToSeconds(spec.deadline);
+  if (!spec.dependencies.empty()) map[kDependencies] = spec.dependencies;
   return map;
 }
 
 std::string EncodeSubmission(const JobSpec& spec) { return Pack(EncodeSpec(spec)); }
 
 std::string EncodeJobState(std::string_view id, JobPhase state) {
-  return Pack(Json{{"name_id", id}, {"status", PhaseWord(state)}});
+  return Pack(Json{{kId, id}, {kPhase, WordOf(kPhaseWords, state)}});
 }
 
 std::string EncodeJobStatus(const JobStatus& status) {
-  return Pack(Json{{"name_id", status.id},
-                   {"status", PhaseWord(status.state)},
-                   {"done", status.done},
-                   {"running", status.running}});
+  return Pack(Json{{kId, status.id},
+                   {kPhase, WordOf(kPhaseWords, status.state)},
+                   {kDoneTasks, status.done},
+                   {kRunningTasks, status.running}});
 }
 
 std::optional<JobStatus> DecodeJobStatus(std::string_view body) {
-  std::optional<Json> doc = Unpack(body);
-  if (!doc || !doc->is_object()) return std::nullopt;
-  auto text = [&doc](const char* name) {
-    auto it = doc->find(name);
-    return it != doc->end() && it->is_string() ? it->get<std::string>() : std::string();
-  };
-  auto count = [&doc](const char* name) {
-    auto it = doc->find(name);
-    return it != doc->end() && it->is_number_integer() ? it->get<int64_t>() : int64_t{0};
-  };
-  std::string id = text("name_id");
-  std::optional<JobPhase> phase = ParsePhase(text("status"));
+  const std::optional<Json> doc = Unpack(body);
+  if (!doc) return std::nullopt;
+  std::string id = Text(*doc, kId).value_or("");
+  const std::optional<JobPhase> phase = ParseWord(kPhaseWords, Text(*doc, kPhase).value_or(""));
   if (id.empty() || !phase) return std::nullopt;
-  return JobStatus{std::move(id), *phase, count("done"), count("running")};
+  return JobStatus{.id = std::move(id),
+                   .state = *phase,
+                   .done = Integer(*doc, kDoneTasks).value_or(0),
+                   .running = Integer(*doc, kRunningTasks).value_or(0)};
 }
 
-std::string EncodeError(std::string_view why) { return Pack(Json{{"error", why}}); }
+std::string EncodeError(std::string_view why) { return Pack(Json{{kError, why}}); }
 
 std::optional<JobPath> ParseJobPath(std::string_view target) {
-  if (target.substr(0, kJobsPath.size()) != kJobsPath) return std::nullopt;
+  if (!target.starts_with(kJobsPath)) return std::nullopt;
   std::string_view rest = target.substr(kJobsPath.size());
-  if (rest.empty() || rest[0] != '/') return std::nullopt;
+  if (!rest.starts_with('/')) return std::nullopt;
   rest.remove_prefix(1);
-  JobPath out;
-  size_t slash = rest.find('/');
-  if (slash != std::string_view::npos) {
-    if (rest.substr(slash) != kAbortEnd) return std::nullopt;
-    out.abort = true;
-    rest = rest.substr(0, slash);
-  }
-  out.id = rest;
-  return out;
+  const size_t id_end = rest.find('/');
+  if (id_end == std::string_view::npos) return JobPath{.id = std::string(rest), .abort = false};
+  if (rest.substr(id_end) != kAbortEnd) return std::nullopt;
+  return JobPath{.id = std::string(rest.substr(0, id_end)), .abort = true};
 }
 
 }  // namespace troutlink::wire
--- a/src/wire/worker.cc
+++ b/src/wire/worker.cc
@@ -1,132 +1,187 @@
-// Workers' side of the wire.
+// The interface for workers: reports, commands and redirects.
+#include <array>
 #include <charconv>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <system_error>
+#include <utility>
+#include <vector>
 
+#include "base/micros.h"
 #include "wire/messages.h"
 #include "wire/pack.h"
+#include "wire/types.h"
+#include "wire/words.h"
 
 namespace troutlink::wire {
 namespace {
 
-bool SplitTask(std::string_view text, std::string* job, int* task) {
-  size_t slash = text.rfind('/');
-  if (slash == std::string_view::npos) return false;
-  *job = text.substr(0, slash);
-  const char* end = text.data() + text.size();
-  auto result = std::from_chars(text.data() + slash + 1, end, *task);
-  return result.ec == std::errc() && result.ptr == end && *task >= 0;
+// Fields of a report, some of them in answers and commands too.
+constexpr const char* kMachine = "host";
+constexpr const char* kAddress = "address";
+constexpr const char* kMachineType = "build";
+constexpr const char* kZone = "room";
+constexpr const char* kSpot = "loaners";
+constexpr const char* kSession = "shift";
+constexpr const char* kSequence = "tally";
+constexpr const char* kToken = "baton";
+constexpr const char* kNoticeSeconds = "warning_s";
+constexpr const char* kTasks = "pieces";
+// Fields of a task in a report and of a command.
+constexpr const char* kTask = "piece";
+constexpr const char* kAttempt = "try";
+constexpr const char* kState = "status";
+constexpr const char* kExitReason = "cause";
+constexpr const char* kExitReasonAlternative = "why";  // read only; see docs/questions.md
+constexpr const char* kSaved = "stored";
+constexpr const char* kOperation = "verb";
+constexpr const char* kGraceSeconds = "wind_down_s";
+// Fields of answers and commands.
+constexpr const char* kCommands = "orders";
+constexpr const char* kReportTo = "foreman";
+
+constexpr auto kTaskStateWords =
+    std::to_array<EnumWord<TaskState>>({{TaskState::kFetching, "pulling"},
+                                        {TaskState::kFetching, "gathering"},  // a gang's tasks
+                                        {TaskState::kRunning, "running"},
+                                        {TaskState::kSaving, "flushing"},
+                                        {TaskState::kExited, "ended"}});
+constexpr auto kExitReasonWords =
+    std::to_array<EnumWord<ExitReason>>({{ExitReason::kDone, "done"},
+                                         {ExitReason::kStopped, "halted"},
+                                         {ExitReason::kError, "error"},
+                                         {ExitReason::kNoRoom, "no_room"},
+                                         {ExitReason::kBusy, "in_use"},
+                                         {ExitReason::kUnknown, "no_such"},
+                                         // Of gangs: a peer left, or the peers did not come in
+                                         // time.
+                                         {ExitReason::kPeers, "mates_gone"},
+                                         {ExitReason::kPeers, "alone"}});
+constexpr auto kOperationWords = std::to_array<EnumWord<Command::Op>>(
+    {{Command::Op::kStart, "start"}, {Command::Op::kStop, "stop"}, {Command::Op::kForget, "reap"}});
+
+// A task is named `job/number`.
+struct TaskName {
+  std::string job;
+  int number = 0;
+};
+
+std::string FormatTaskName(const std::string& job, int number) {
+  return job + "/" + std::to_string(number);
 }
 
-Json OrderList(const std::vector<Command>& commands) {
-  Json list = Json::array();
-  for (const Command& command : commands) {
-    const char* verb = command.op == Command::Op::kStart  ? "start"
-                       : command.op == Command::Op::kStop ? "stop"
-                                                          : "reap";
-    Json order = {{"verb", verb},
-                  {"piece", command.job + "/" + std::to_string(command.task)},
-                  {"try", command.attempt}};
-    if (command.op == Command::Op::kStop) order["wind_down_s"] = ToSeconds(command.grace);
-    list.push_back(std::move(order));
+std::optional<TaskName> ParseTaskName(std::string_view text) {
+  const size_t slash = text.rfind('/');
+  if (slash == std::string_view::npos) return std::nullopt;
+  const std::string_view digits = text.substr(slash + 1);
+  const char* end = digits.data() + digits.size();
+  TaskName name{.job = std::string(text.substr(0, slash))};
+  const auto [parsed, error] = std::from_chars(digits.data(), end, name.number);
+  if (error != std::errc() || parsed != end || name.number < 0) return std::nullopt;
+  return name;
+}
+
+// Nothing for an element that can be read only in part.
+std::optional<TaskReport> DecodeTaskReport(const Json& item) {
+  const std::optional<TaskName> name = ParseTaskName(Text(item, kTask).value_or(""));
+  const std::optional<uint64_t> attempt = Count(item, kAttempt);
+  const std::optional<TaskState> state =
+      ParseWord(kTaskStateWords, Text(item, kState).value_or(""));
+  if (!name || !attempt || !state) return std::nullopt;
+  TaskReport task;
+  task.job = name->job;
+  task.task = name->number;
+  task.attempt = *attempt;
+  task.state = *state;
+  if (task.state == TaskState::kExited) {
+    std::optional<std::string> reason = Text(item, kExitReason);
+    if (!reason) reason = Text(item, kExitReasonAlternative);
+    // Reasons that we do not know count as errors.
+    task.why = ParseWord(kExitReasonWords, reason.value_or("")).value_or(ExitReason::kError);
   }
-  return list;
+  task.saved = Flag(item, kSaved).value_or(false);
+  return task;
 }
 
-std::optional<TaskState> ParseTaskState(std::string_view word) {
-  if (word == "pulling" || word == "gathering") return TaskState::kFetching;
-  if (word == "running") return TaskState::kRunning;
-  if (word == "flushing") return TaskState::kSaving;
-  if (word == "ended") return TaskState::kExited;
-  return std::nullopt;
+Json EncodeTaskReport(const TaskReport& task) {
+  Json item = {{kTask, FormatTaskName(task.job, task.task)},
+               {kAttempt, task.attempt},
+               {kState, WordOf(kTaskStateWords, task.state)}};
+  if (task.why != ExitReason::kNone) item[kExitReason] = WordOf(kExitReasonWords, task.why);
+  if (task.saved) item[kSaved] = true;
+  return item;
 }
 
-ExitReason ParseExit(std::string_view word) {
-  if (word == "done") return ExitReason::kDone;
-  if (word == "halted") return ExitReason::kStopped;
-  if (word == "no_room") return ExitReason::kNoRoom;
-  if (word == "in_use") return ExitReason::kBusy;
-  if (word == "no_such") return ExitReason::kUnknown;
-  // Of gangs: a mate left, or the mates did not come in time.
-  if (word == "mates_gone" || word == "alone") return ExitReason::kPeers;
-  return ExitReason::kError;
+Json EncodeCommandList(const std::vector<Command>& commands) {
+  Json list = Json::array();
+  for (const Command& command : commands) {
+    Json item = {{kOperation, WordOf(kOperationWords, command.op)},
+                 {kTask, FormatTaskName(command.job, command.task)},
+                 {kAttempt, command.attempt}};
+    if (command.op == Command::Op::kStop) item[kGraceSeconds] = ToSeconds(command.grace);
+    list.push_back(std::move(item));
+  }
+  return list;
 }
 
 }  // namespace
 
 std::optional<Report> DecodeReport(std::string_view body) {
-  std::optional<Json> doc = Unpack(body);
-  if (!doc || !doc->is_object()) return std::nullopt;
+  const std::optional<Json> doc = Unpack(body);
+  if (!doc) return std::nullopt;
   const Json& map = *doc;
+  const std::optional<std::string> machine = Text(map, kMachine);
+  const std::optional<uint64_t> session = Count(map, kSession);
+  const std::optional<uint64_t> sequence = Count(map, kSequence);
+  if (!machine || machine->empty() || !session || !sequence) return std::nullopt;
   Report report;
-  std::optional<std::string> machine = Text(map, "host");
-  std::optional<uint64_t> session = Count(map, "shift"), seq = Count(map, "tally");
-  if (!machine || machine->empty() || !session || !seq) return std::nullopt;
   report.machine = *machine;
-  report.addr = Text(map, "address").value_or("");
-  report.type = Text(map, "build").value_or("");
-  report.zone = Text(map, "room").value_or("");
-  report.spot = Flag(map, "loaners").value_or(false);
+  report.addr = Text(map, kAddress).value_or("");
+  report.type = Text(map, kMachineType).value_or("");
+  report.zone = Text(map, kZone).value_or("");
+  report.spot = Flag(map, kSpot).value_or(false);
   report.session = *session;
-  report.seq = *seq;
-  report.token = Count(map, "baton").value_or(0);
-  if (std::optional<double> notice = Number(map, "warning_s")) report.notice = FromSeconds(*notice);
-  // Both names of the list were seen in descriptions; see docs/questions.md.
-  const Json* tasks = Find(map, "pieces");
-  if (tasks != nullptr) {
-    if (!tasks->is_array()) return std::nullopt;
-    for (const Json& item : *tasks) {
-      TaskReport task;
-      std::optional<std::string> name = Text(item, "piece");
-      std::optional<uint64_t> attempt = Count(item, "try");
-      std::optional<TaskState> state = ParseTaskState(Text(item, "status").value_or(""));
-      // A report that we can read only in part must not prove an absence.
-      if (!name || !attempt || !state || !SplitTask(*name, &task.job, &task.task)) {
-        return std::nullopt;
-      }
-      task.attempt = *attempt;
-      task.state = *state;
-      if (task.state == TaskState::kExited) {
-        std::optional<std::string> why = Text(item, "cause");
-        if (!why) why = Text(item, "why");
-        task.why = ParseExit(why.value_or("error"));
-      }
-      task.saved = Flag(item, "stored").value_or(false);
-      report.tasks.push_back(std::move(task));
-    }
+  report.seq = *sequence;
+  report.token = Count(map, kToken).value_or(0);
+  if (const std::optional<double> notice = Number(map, kNoticeSeconds)) {
+    report.notice = FromSeconds(*notice);
+  }
+  const Json* tasks = Find(map, kTasks);
+  if (tasks == nullptr) return report;
+  if (!tasks->is_array()) return std::nullopt;
+  for (const Json& item : *tasks) {
+    std::optional<TaskReport> task = DecodeTaskReport(item);
+    // A report that we can read only in part must not prove an absence.
+    if (!task) return std::nullopt;
+    report.tasks.push_back(*std::move(task));
   }
   return report;
 }
 
 std::string EncodeReport(const Report& report) {
-  static constexpr const char* kStates[] = {"pulling", "running", "flushing", "ended"};
-  static constexpr const char* kReasons[] = {"",        "done",   "halted",  "error",
-                                             "no_room", "in_use", "no_such", "mates_gone"};
   Json tasks = Json::array();
-  for (const TaskReport& task : report.tasks) {
-    Json item = {{"piece", task.job + "/" + std::to_string(task.task)},
-                 {"try", task.attempt},
-                 {"status", kStates[static_cast<int>(task.state)]}};
-    if (task.why != ExitReason::kNone) item["cause"] = kReasons[static_cast<int>(task.why)];
-    if (task.saved) item["stored"] = true;
-    tasks.push_back(std::move(item));
-  }
-  Json map = {{"host", report.machine}, {"address", report.addr}, {"build", report.type},
-              {"room", report.zone},    {"loaners", report.spot}, {"shift", report.session},
-              {"tally", report.seq},    {"baton", report.token},  {"pieces", std::move(tasks)}};
-  if (report.notice) map["warning_s"] = ToSeconds(*report.notice);
+  for (const TaskReport& task : report.tasks) tasks.push_back(EncodeTaskReport(task));
+  Json map = {{kMachine, report.machine}, {kAddress, report.addr}, {kMachineType, report.type},
+              {kZone, report.zone},       {kSpot, report.spot},    {kSession, report.session},
+              {kSequence, report.seq},    {kToken, report.token},  {kTasks, std::move(tasks)}};
+  if (report.notice) map[kNoticeSeconds] = ToSeconds(*report.notice);
   return Pack(map);
 }
 
 std::string EncodeReportReply(uint64_t token, const std::vector<Command>& commands) {
-  return Pack(Json{{"baton", token}, {"orders", OrderList(commands)}});
+  return Pack(Json{{kToken, token}, {kCommands, EncodeCommandList(commands)}});
 }
 
 std::string EncodeCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands) {
-  return Pack(Json{{"baton", token}, {"shift", session}, {"orders", OrderList(commands)}});
+  return Pack(Json{{kToken, token}, {kSession, session}, {kCommands, EncodeCommandList(commands)}});
 }
 
 std::string EncodeReportTo(std::string_view label) {
   if (label.empty()) return Pack(Json::object());
-  return Pack(Json{{"foreman", label}});
+  return Pack(Json{{kReportTo, label}});
 }
 
 }  // namespace troutlink::wire
