--- a/src/core/scheduler/placing.cc
+++ b/src/core/scheduler/placing.cc
@@ -332,7 +332,7 @@
   if (spec.priority == Priority::kProduction && now_ - shard_.cycle.explained_at > kSecond) {
     shard_.cycle.explained_at = now_;
     core_.effects_.Log(LogLine::Level::kDebug,
-              "no room for " + spec.id + " (" + std::to_string(job->left) + " left)");
+                       "no room for " + spec.id + " (" + std::to_string(job->left) + " left)");
   }
   MakeRoom(*job);
 }
--- a/src/wire/pack.h
+++ b/src/wire/pack.h
@@ -4,15 +4,15 @@
 #ifndef TROUTLINK_WIRE_PACK_H_
 #define TROUTLINK_WIRE_PACK_H_
 
+#include <cstdint>
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
 #include <string_view>
 
-namespace troutlink::wire {
+#include "wire/json_fwd.h"
 
-// A document in memory.
-using Json = nlohmann::json;
+namespace troutlink::wire {
 
 // `value` as MessagePack.
 std::string Pack(const Json& value);
@@ -31,6 +31,8 @@
 std::optional<std::string> Text(const Json& map, const char* key);
 // The field as an integer that is not negative.
 std::optional<uint64_t> Count(const Json& map, const char* key);
+// The field as an integer of 64 bits, which may be negative.
+std::optional<int64_t> Integer(const Json& map, const char* key);
 // The field as a finite number.
 std::optional<double> Number(const Json& map, const char* key);
 // The field as a boolean.
