--- /dev/null
+++ b/src/runtime/http_server.h
@@ -0,0 +1,84 @@
+// HTTP server with a bounded number of connections and one request at a time on each.
+#ifndef TROUTLINK_RUNTIME_HTTP_SERVER_H_
+#define TROUTLINK_RUNTIME_HTTP_SERVER_H_
+
+#include <ev++.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <list>
+#include <memory>
+#include <optional>
+#include <unordered_map>
+
+#include "base/micros.h"
+#include "base/result.h"
+#include "config/settings.h"
+#include "core/io.h"
+#include "runtime/http_server_connection.h"
+#include "runtime/listener.h"
+#include "runtime/socket.h"
+
+namespace troutlink::runtime {
+
+// Accepts requests, gives each an id and sends the reply with that id. To be used on the
+// loop's thread.
+class HttpServer final : private HttpServerConnection::Owner {
+ public:
+  // Receives each request. May call Send() at once; the reply may also be sent later.
+  using RequestHandler = std::function<void(Request request)>;
+
+  // Keeps at most `max_connections` connections. Beyond them, the one that has been idle for
+  // longest is closed for a new one; when none is idle the new one is refused with status 503.
+  HttpServer(ev::loop_ref loop, size_t max_connections, RequestHandler on_request);
+  ~HttpServer() override = default;
+  HttpServer(const HttpServer&) = delete;
+  HttpServer& operator=(const HttpServer&) = delete;
+
+  // Starts to accept connections; the address listened at, with the port that was chosen for
+  // port 0. To be called once.
+  [[nodiscard]] Result<Endpoint, SocketError> Open(const Endpoint& address) {
+    return listener_.Open(address);
+  }
+  // Sends the reply to the request with its id; ignores it when the connection is gone.
+  void Send(const Reply& reply);
+  // Closes connections that stalled or idled too long; to be called a few times a second.
+  void Tick(Micros now);
+  // Open connections.
+  [[nodiscard]] size_t connections() const { return connections_.size(); }
+
+ private:
+  using IdleList = std::list<HttpServerConnection*>;
+
+  // A connection and its place in the server.
+  struct Entry {
+    std::unique_ptr<HttpServerConnection> connection;
+    uint64_t request_id = 0;                          // being answered; 0 for none
+    std::optional<IdleList::iterator> idle_position;  // in `idle_`
+  };
+
+  void OnConnection(UniqueFd socket);
+  void OnRequest(HttpServerConnection& connection, http::Message request) override;
+  void OnIdle(HttpServerConnection& connection) override;
+  void OnActive(HttpServerConnection& connection) override;
+  void OnClosed(HttpServerConnection& connection) override;
+  void RemoveFromIdle(Entry& entry);
+  // Closes the connection that has been idle for longest; false when none may be closed.
+  [[nodiscard]] bool CloseLongestIdle();
+  // Whether nearly all connections are taken.
+  [[nodiscard]] bool IsCrowded() const;
+
+  ev::loop_ref loop_;
+  size_t max_connections_;
+  RequestHandler on_request_;
+  uint64_t next_request_id_ = 1;
+  std::unordered_map<HttpServerConnection*, Entry> connections_;
+  std::unordered_map<uint64_t, HttpServerConnection*> requests_;  // those being answered, by id
+  IdleList idle_;  // connections between two requests, the longest idle first
+  Listener listener_;
+};
+
+}  // namespace troutlink::runtime
+
+#endif  // TROUTLINK_RUNTIME_HTTP_SERVER_H_
--- a/src/runtime/node.h
+++ b/src/runtime/node.h
@@ -1,5 +1,5 @@
-// One controller process: connects the core to sockets, clocks and the log. The core
-// decides and returns what to send; the node sends it and passes on what arrives.
+// One controller process: connects the core to sockets, clocks and the log. The core decides
+// and returns what to send; the node sends it and passes on what arrives.
 #ifndef TROUTLINK_RUNTIME_NODE_H_
 #define TROUTLINK_RUNTIME_NODE_H_
 
@@ -7,8 +7,10 @@
 
 namespace troutlink::runtime {
 
-// Runs a controller until the process is killed; returns an exit code if it cannot start.
-int RunNode(const Settings& settings);
+// Runs a controller on the calling thread until the process is killed. Returns only when it
+// cannot listen at an address of `settings`: the exit code of the process, with the reason in
+// the log.
+[[nodiscard]] int RunNode(const Settings& settings);
 
 }  // namespace troutlink::runtime
 
--- /dev/null
+++ b/src/runtime/socket_budget.h
@@ -0,0 +1,35 @@
+// How a controller shares its file descriptors among the connections that it keeps.
+#ifndef TROUTLINK_RUNTIME_SOCKET_BUDGET_H_
+#define TROUTLINK_RUNTIME_SOCKET_BUDGET_H_
+
+#include <algorithm>
+#include <cstddef>
+
+namespace troutlink::runtime {
+
+// Numbers of connections, which together stay within the limit of file descriptors unless that
+// is too low for the least of each.
+struct SocketBudget {
+  size_t incoming = 0;    // from users and workers, to the HTTP server
+  size_t to_workers = 0;  // from the HTTP client
+};
+
+// Descriptors left for the state service, the cloud, the peers and the event loop itself,
+// whatever else comes in.
+inline constexpr int kReservedDescriptors = 64;
+
+// The budget of a process that may open `descriptor_limit` file descriptors. Every worker may
+// come to one controller when the others are gone, so that most descriptors are for incoming
+// connections; commands to workers are short and share a sixth.
+[[nodiscard]] constexpr SocketBudget BudgetOf(int descriptor_limit) {
+  constexpr int kWorkerFraction = 6;
+  constexpr int kMinToWorkers = 4;
+  constexpr int kMinIncoming = 16;
+  const int to_workers = std::max(kMinToWorkers, descriptor_limit / kWorkerFraction);
+  const int incoming = std::max(kMinIncoming, descriptor_limit - to_workers - kReservedDescriptors);
+  return {static_cast<size_t>(incoming), static_cast<size_t>(to_workers)};
+}
+
+}  // namespace troutlink::runtime
+
+#endif  // TROUTLINK_RUNTIME_SOCKET_BUDGET_H_
--- /dev/null
+++ b/src/runtime/unique_fd.h
@@ -0,0 +1,53 @@
+// Ownership of a file descriptor.
+#ifndef TROUTLINK_RUNTIME_UNIQUE_FD_H_
+#define TROUTLINK_RUNTIME_UNIQUE_FD_H_
+
+#include <unistd.h>
+
+#include <utility>
+
+namespace troutlink::runtime {
+
+// Owns at most one open file descriptor and closes it when it is destroyed or replaced.
+//
+// A libev watcher of the descriptor must be stopped before the descriptor is closed: classes
+// declare the watcher after the UniqueFd, so that it is destroyed first.
+class UniqueFd {
+ public:
+  // Owns nothing.
+  UniqueFd() = default;
+  // Takes ownership of `fd`; a negative one stands for none.
+  explicit UniqueFd(int fd) : fd_(fd) {}
+  ~UniqueFd() { reset(); }
+  UniqueFd(UniqueFd&& other) noexcept : fd_(std::exchange(other.fd_, kNone)) {}
+  UniqueFd& operator=(UniqueFd&& other) noexcept {
+    if (this != &other) {
+      reset();
+      fd_ = std::exchange(other.fd_, kNone);
+    }
+    return *this;
+  }
+  UniqueFd(const UniqueFd&) = delete;
+  UniqueFd& operator=(const UniqueFd&) = delete;
+
+  // True when it owns a descriptor.
+  explicit operator bool() const { return fd_ >= 0; }
+  // The descriptor, still owned; negative for none.
+  [[nodiscard]] int get() const { return fd_; }
+  // Closes the descriptor, if there is one.
+  void reset() {
+    if (fd_ >= 0) close(fd_);
+    fd_ = kNone;
+  }
+  // Hands the descriptor over to the caller, who must close it.
+  [[nodiscard]] int release() { return std::exchange(fd_, kNone); }
+
+ private:
+  static constexpr int kNone = -1;
+
+  int fd_ = kNone;
+};
+
+}  // namespace troutlink::runtime
+
+#endif  // TROUTLINK_RUNTIME_UNIQUE_FD_H_
--- /dev/null
+++ b/tests/runtime_peers_units_test.cc
@@ -0,0 +1,147 @@
+// Units of the transport between controllers, over loopback.
+#include <gtest/gtest.h>
+
+#include <array>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "loopback.h"
+#include "mesh/codec.h"
+#include "runtime/clock.h"
+#include "runtime/listener.h"
+#include "runtime/outgoing_peer_connection.h"
+#include "runtime/peer_transport.h"
+#include "runtime/socket.h"
+#include "runtime/unique_fd.h"
+
+namespace troutlink::runtime {
+namespace {
+
+using test::AnyLoopbackPort;
+using test::EventLoop;
+using test::RawClient;
+
+struct Received {
+  std::string from;
+  mesh::Message message;
+};
+
+// The transport of the controller `b` with the peer `a`, whose address does not matter to it.
+class Receiver {
+ public:
+  explicit Receiver(EventLoop& loop)
+      : transport(loop.ref(), "b", {{"a", "z", test::RefusingEndpoint()}},
+                  [this](const std::string& from, const mesh::Message& message) {
+                    received.push_back({from, message});
+                  }) {
+    const auto opened = transport.Open(AnyLoopbackPort());
+    EXPECT_TRUE(opened);
+    address = *opened;
+  }
+
+  PeerTransport transport;
+  Endpoint address;
+  std::vector<Received> received;
+};
+
+mesh::Message MakeMessage(uint64_t id) { return mesh::Relay{id, "body"}; }
+
+std::string LabelFrame(const std::string& label) {
+  std::string frame;
+  mesh::PutVarint(&frame, label.size());
+  return frame + label;
+}
+
+TEST(PeerTransport, DeliversMessagesInOrderWithTheSendersLabel) {
+  EventLoop loop;
+  Receiver receiver(loop);
+  PeerTransport sender(loop.ref(), "a", {{"b", "z", receiver.address}},
+                       [](const std::string&, const mesh::Message&) {});
+  for (uint64_t id = 1; id <= 3; ++id) sender.Send("b", MakeMessage(id));
+  sender.Send("nobody", MakeMessage(4));
+  ASSERT_TRUE(loop.RunUntil([&] { return receiver.received.size() == 3; }));
+  sender.Send("b", MakeMessage(5));
+  ASSERT_TRUE(loop.RunUntil([&] { return receiver.received.size() == 4; }));
+  const std::vector<uint64_t> ids = {1, 2, 3, 5};
+  for (size_t index = 0; index < ids.size(); ++index) {
+    EXPECT_EQ(receiver.received[index].from, "a");
+    EXPECT_EQ(receiver.received[index].message, MakeMessage(ids[index]));
+  }
+}
+
+TEST(PeerTransport, ClosesConnectionsOfStrangersAndMalformedOnes) {
+  EventLoop loop;
+  Receiver receiver(loop);
+  RawClient stranger(loop, receiver.address);
+  stranger.SendText(LabelFrame("stranger") + mesh::Encode(MakeMessage(1)));
+  EXPECT_TRUE(stranger.IsClosed());
+  RawClient malformed(loop, receiver.address);
+  std::string too_long;
+  mesh::PutVarint(&too_long, mesh::kMaxFrame + 1);
+  malformed.SendText(LabelFrame("a") + too_long);
+  EXPECT_TRUE(malformed.IsClosed());
+  EXPECT_TRUE(receiver.received.empty());
+}
+
+TEST(PeerTransport, SkipsAMessageThatItCannotDecode) {
+  EventLoop loop;
+  Receiver receiver(loop);
+  RawClient peer(loop, receiver.address);
+  std::string unknown_kind;
+  mesh::PutVarint(&unknown_kind, 1);
+  unknown_kind.push_back('\x7f');
+  peer.SendText(LabelFrame("a") + unknown_kind + mesh::Encode(MakeMessage(2)));
+  ASSERT_TRUE(loop.RunUntil([&] { return receiver.received.size() == 1; }));
+  EXPECT_EQ(receiver.received[0].message, MakeMessage(2));
+}
+
+TEST(OutgoingPeerConnection, SendsItsLabelBeforeTheFirstMessage) {
+  EventLoop loop;
+  std::vector<UniqueFd> accepted;
+  Listener listener(loop.ref(), 1, [&](UniqueFd fd) { accepted.push_back(std::move(fd)); });
+  const auto address = listener.Open(AnyLoopbackPort());
+  ASSERT_TRUE(address);
+  OutgoingPeerConnection connection(loop.ref(), "a", *address);
+  connection.Send(MakeMessage(1));
+  const std::string expected = LabelFrame("a") + mesh::Encode(MakeMessage(1));
+  std::string bytes;
+  ASSERT_TRUE(loop.RunUntil([&] {
+    std::array<char, kReadBytes> buffer{};
+    if (accepted.empty()) return false;
+    if (const auto count = Receive(accepted[0].get(), buffer)) bytes.append(buffer.data(), *count);
+    return bytes.size() >= expected.size();
+  }));
+  EXPECT_EQ(bytes, expected);
+}
+
+TEST(OutgoingPeerConnection, ClosesAConnectionThatTakesNoBytes) {
+  EventLoop loop;
+  std::vector<UniqueFd> accepted;
+  Listener listener(loop.ref(), 1, [&](UniqueFd fd) { accepted.push_back(std::move(fd)); });
+  const auto address = listener.Open(AnyLoopbackPort());
+  ASSERT_TRUE(address);
+  OutgoingPeerConnection connection(loop.ref(), "a", *address);
+  connection.Send(MakeMessage(1));
+  ASSERT_TRUE(loop.RunUntil([&] { return accepted.size() == 1; }));
+  loop.RunReady();
+  // More than the sockets of both sides hold, so that bytes are left; then nothing is read.
+  const mesh::Message large = mesh::Relay{2, std::string(size_t{200} * 1024, 'x')};
+  for (int count = 0; count < 100; ++count) connection.Send(large);
+  connection.Tick(SteadyNow() + kSecond);
+  EXPECT_TRUE(accepted.size() == 1);
+  connection.Tick(SteadyNow() + 3 * kSecond);
+  // What was sent can still be read; after it comes the end.
+  SocketError error = SocketError::kWouldBlock;
+  ASSERT_TRUE(loop.RunUntil([&] {
+    std::array<char, kReadBytes> buffer{};
+    auto count = Receive(accepted[0].get(), buffer);
+    while (count) count = Receive(accepted[0].get(), buffer);
+    error = count.error().code;
+    return error != SocketError::kWouldBlock;
+  }));
+  EXPECT_EQ(NameOf(error), "closed");
+}
+
+}  // namespace
+}  // namespace troutlink::runtime
--- a/tests/soak/controllers.cc
+++ b/tests/soak/controllers.cc
@@ -6,7 +6,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include "runtime/net.h"
+#include "runtime/socket.h"
 
 namespace troutlink::soak {
 
@@ -14,11 +14,7 @@
 constexpr int kFirstPort = 10000;
 constexpr int kLastPort = 32000;
 
-bool MayListen(int port) {
-  const int fd = runtime::Listen(Loopback(port));
-  if (fd >= 0) close(fd);
-  return fd >= 0;
-}
+bool MayListen(int port) { return static_cast<bool>(runtime::Listen(Loopback(port))); }
 }  // namespace
 
 std::string LoopbackHost() {
--- a/tests/soak/http_calls.h
+++ b/tests/soak/http_calls.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <utility>
 
-#include "runtime/client.h"
+#include "runtime/http_client.h"
 
 namespace troutlink::soak {
 
@@ -19,9 +19,7 @@
   using Handler = std::function<void(int status, const std::string& body)>;
 
   HttpCalls(struct ev_loop* loop, size_t connections)
-      : client_(loop, connections, [this](uint64_t call, int status, const std::string& body) {
-          Done(call, status, body);
-        }) {}
+      : client_(loop, connections, [this](const runtime::CallResult& result) { Done(result); }) {}
 
   void Send(const Endpoint& to, std::string method, std::string target, std::string body,
             Micros timeout, Handler handler) {
@@ -33,22 +31,22 @@
     call.target = std::move(target);
     call.body = std::move(body);
     call.timeout = timeout;
-    client_.Start(to, kConnections, false, call);
+    client_.Send(to, {.max_connections = kConnections, .shares_limit = true}, call);
   }
   void Tick(Micros now) { client_.Tick(now); }
 
  private:
   static constexpr int kConnections = 128;  // to one controller
 
-  void Done(uint64_t call, int status, const std::string& body) {
-    auto found = handlers_.find(call);
+  void Done(const runtime::CallResult& result) {
+    auto found = handlers_.find(result.call_id);
     if (found == handlers_.end()) return;
     const Handler handler = std::move(found->second);
     handlers_.erase(found);
-    handler(status, body);
+    handler(result.status, result.body);
   }
 
-  runtime::Client client_;
+  runtime::HttpClient client_;
   uint64_t next_ = 1;
   std::map<uint64_t, Handler> handlers_;
 };
--- a/tests/soak/relay.cc
+++ b/tests/soak/relay.cc
@@ -1,12 +1,12 @@
 #include "relay.h"
 
 #include <sys/socket.h>
-#include <unistd.h>
 
 #include <cerrno>
+#include <utility>
 #include <vector>
 
-#include "runtime/net.h"
+#include "runtime/socket.h"
 
 namespace troutlink::soak {
 
@@ -17,17 +17,16 @@
 
 Relay::~Relay() {
   while (!pipes_.empty()) Close(pipes_.begin()->first);
-  if (listener_ < 0) return;
-  ev_io_stop(loop_, &accept_);
-  close(listener_);
+  if (listener_) ev_io_stop(loop_, &accept_);
 }
 
 bool Relay::Open(const Endpoint& at) {
-  listener_ = runtime::Listen(at);
-  if (listener_ < 0) return false;
+  auto listener = runtime::Listen(at);
+  if (!listener) return false;
+  listener_ = std::move(*listener);
   accept_.data = this;
   ev_init(&accept_, &Relay::OnAccept);
-  ev_io_set(&accept_, listener_, EV_READ);
+  ev_io_set(&accept_, listener_.get(), EV_READ);
   ev_io_start(loop_, &accept_);
   return true;
 }
@@ -47,32 +46,29 @@
 
 void Relay::OnAccept(struct ev_loop*, ev_io* watcher, int) {
   auto* self = static_cast<Relay*>(watcher->data);
-  const int in = runtime::Accept(self->listener_);
-  if (in < 0) return;
+  auto in = runtime::Accept(self->listener_.get());
+  if (!in) return;
   if (self->mode_ == Mode::kReset) {
     ++self->hits_;
-    close(in);
     return;
   }
-  self->Add(in);
+  self->Add(std::move(*in));
 }
 
-void Relay::Add(int in) {
+void Relay::Add(runtime::UniqueFd in) {
+  auto out = runtime::Connect(to_);
+  if (!out) return;
   auto owned = std::make_unique<Pipe>();
   Pipe* pipe = owned.get();
   pipe->owner = this;
-  pipe->in = in;
-  pipe->out = runtime::Dial(to_);
-  if (pipe->out < 0) {
-    close(in);
-    return;
-  }
+  pipe->in = std::move(in);
+  pipe->out = std::move(*out);
   pipe->read.data = pipe->write.data = pipe;
   ev_init(&pipe->read, &Relay::OnRead);
-  ev_io_set(&pipe->read, in, EV_READ);
+  ev_io_set(&pipe->read, pipe->in.get(), EV_READ);
   ev_io_start(loop_, &pipe->read);
   ev_init(&pipe->write, &Relay::OnWrite);
-  ev_io_set(&pipe->write, pipe->out, EV_WRITE);
+  ev_io_set(&pipe->write, pipe->out.get(), EV_WRITE);
   ev_io_start(loop_, &pipe->write);
   pipes_[pipe] = std::move(owned);
 }
@@ -81,7 +77,7 @@
   auto* pipe = static_cast<Pipe*>(watcher->data);
   Relay* self = pipe->owner;
   char bytes[kChunk];
-  const ssize_t count = recv(pipe->in, bytes, sizeof bytes, 0);
+  const ssize_t count = recv(pipe->in.get(), bytes, sizeof bytes, 0);
   if (count < 0 && WouldBlock()) return;
   if (count <= 0) {
     ev_io_stop(self->loop_, &pipe->read);
@@ -95,7 +91,7 @@
 
 void Relay::OnWrite(struct ev_loop*, ev_io* watcher, int) {
   auto* pipe = static_cast<Pipe*>(watcher->data);
-  if (pipe->connecting && runtime::ConnectError(pipe->out) != 0) {
+  if (pipe->connecting && runtime::ConnectOutcome(pipe->out.get())) {
     pipe->owner->Close(pipe);
     return;
   }
@@ -109,7 +105,8 @@
     return;
   }
   while (!pipe->buffer.empty()) {
-    const ssize_t count = send(pipe->out, pipe->buffer.data(), pipe->buffer.size(), MSG_NOSIGNAL);
+    const ssize_t count =
+        send(pipe->out.get(), pipe->buffer.data(), pipe->buffer.size(), MSG_NOSIGNAL);
     if (count < 0 && WouldBlock()) break;
     if (count <= 0) {
       Close(pipe);
@@ -128,8 +125,6 @@
 void Relay::Close(Pipe* pipe) {
   ev_io_stop(loop_, &pipe->read);
   ev_io_stop(loop_, &pipe->write);
-  close(pipe->in);
-  close(pipe->out);
   pipes_.erase(pipe);
 }
 
--- a/tests/soak/relay.h
+++ b/tests/soak/relay.h
@@ -10,6 +10,7 @@
 #include <string>
 
 #include "config/settings.h"
+#include "runtime/unique_fd.h"
 
 namespace troutlink::soak {
 
@@ -24,7 +25,7 @@
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  // False, with errno set, when it cannot listen.
+  // False when it cannot listen.
   bool Open(const Endpoint& at);
   void SetMode(Mode mode);
   // How often it held something back or reset a connection.
@@ -34,8 +35,8 @@
   // One connection: what comes in is written to the other side.
   struct Pipe {
     Relay* owner = nullptr;
-    int in = -1;
-    int out = -1;
+    runtime::UniqueFd in;
+    runtime::UniqueFd out;
     bool connecting = true;
     bool ended = false;  // the incoming side: closed once all is written
     std::string buffer;
@@ -45,14 +46,14 @@
   static void OnAccept(struct ev_loop* loop, ev_io* watcher, int events);
   static void OnRead(struct ev_loop* loop, ev_io* watcher, int events);
   static void OnWrite(struct ev_loop* loop, ev_io* watcher, int events);
-  void Add(int in);
+  void Add(runtime::UniqueFd in);
   void Flush(Pipe* pipe);
   void Close(Pipe* pipe);
 
   struct ev_loop* loop_;
   Endpoint to_;
   Mode mode_ = Mode::kOpen;
-  int listener_ = -1;
+  runtime::UniqueFd listener_;
   ev_io accept_{};
   uint64_t hits_ = 0;
   std::map<Pipe*, std::unique_ptr<Pipe>> pipes_;
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "core/records.h"
-#include "runtime/net.h"
+#include "runtime/clock.h"
 
 namespace troutlink::soak {
 
--- a/tests/soak/state_stand_in.cc
+++ b/tests/soak/state_stand_in.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "runtime/net.h"
+#include "runtime/clock.h"
 #include "wire/pack.h"
 
 namespace troutlink::soak {
@@ -16,9 +16,9 @@
 
 bool StateStandIn::Listen(const Endpoint& at) {
   const size_t node = servers_.size();
-  servers_.push_back(std::make_unique<runtime::Server>(
+  servers_.push_back(std::make_unique<runtime::HttpServer>(
       loop_, kConnections, [this, node](const Request& request) { OnRequest(node, request); }));
-  return servers_.back()->Open(at);
+  return static_cast<bool>(servers_.back()->Open(at));
 }
 
 bool StateStandIn::Blocked(size_t node) const {
--- a/tests/soak/state_stand_in.h
+++ b/tests/soak/state_stand_in.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "fake_state.h"
-#include "runtime/server.h"
+#include "runtime/http_server.h"
 
 namespace troutlink::soak {
 
@@ -63,7 +63,7 @@
 
   struct ev_loop* loop_;
   std::mt19937_64 rng_;
-  std::vector<std::unique_ptr<runtime::Server>> servers_;
+  std::vector<std::unique_ptr<runtime::HttpServer>> servers_;
   std::vector<Due> due_;
   std::vector<OpenWatch> watches_;
 };
--- a/tests/soak/user_traffic.cc
+++ b/tests/soak/user_traffic.cc
@@ -2,7 +2,7 @@
 
 #include <iterator>
 
-#include "runtime/net.h"
+#include "runtime/clock.h"
 #include "wire/messages.h"
 
 namespace troutlink::soak {
--- a/tests/soak/worker_pool.cc
+++ b/tests/soak/worker_pool.cc
@@ -3,7 +3,7 @@
 #include <cstdio>
 
 #include "controllers.h"
-#include "runtime/net.h"
+#include "runtime/clock.h"
 #include "wire/messages.h"
 
 namespace troutlink::soak {
@@ -34,14 +34,14 @@
       calls_(loop, kReportConnections) {}
 
 bool WorkerPool::ListenCloud(const Endpoint& at) {
-  cloud_server_ =
-      std::make_unique<runtime::Server>(loop_, kCloudConnections, [this](const Request& request) {
+  cloud_server_ = std::make_unique<runtime::HttpServer>(
+      loop_, kCloudConnections, [this](const Request& request) {
         auto [status, reply] =
             cloud.Handle(runtime::SteadyNow(), request.method, request.target,
                          wire::Unpack(request.body).value_or(wire::Json::object()));
         cloud_server_->Send({request.id, status, wire::Pack(reply), 0});
       });
-  return cloud_server_->Open(at);
+  return static_cast<bool>(cloud_server_->Open(at));
 }
 
 bool WorkerPool::Add() {
@@ -70,7 +70,7 @@
   };
   const Endpoint at = Loopback(FreePort());
   worker->addr = at.text;
-  auto server = std::make_unique<runtime::Server>(
+  auto server = std::make_unique<runtime::HttpServer>(
       loop_, kCommandConnections,
       [this, worker](const Request& request) { OnCommand(worker, request); });
   if (server->Open(at)) servers_[name] = std::move(server);
--- a/tests/soak/worker_pool.h
+++ b/tests/soak/worker_pool.h
@@ -16,7 +16,7 @@
 #include "fake_cloud.h"
 #include "fake_worker.h"
 #include "http_calls.h"
-#include "runtime/server.h"
+#include "runtime/http_server.h"
 
 namespace troutlink::soak {
 
@@ -62,8 +62,8 @@
   OnStart on_start_;
   std::function<void(const std::string&)> report_;  // of a broken rule
   HttpCalls calls_;
-  std::unique_ptr<runtime::Server> cloud_server_;
-  std::map<std::string, std::unique_ptr<runtime::Server>> servers_;  // by worker
+  std::unique_ptr<runtime::HttpServer> cloud_server_;
+  std::map<std::string, std::unique_ptr<runtime::HttpServer>> servers_;  // by worker
   std::map<std::string, Micros> run_time_;
   int next_machine_ = 1;
 };
