--- a/src/runtime/http_client.h
+++ b/src/runtime/http_client.h
@@ -19,7 +19,7 @@
 
 #include "base/micros.h"
 #include "config/settings.h"
-#include "core/io.h"
+#include "core/io/io.h"
 #include "runtime/http_client_connection.h"
 
 namespace troutlink::runtime {
--- a/src/runtime/http_server.h
+++ b/src/runtime/http_server.h
@@ -15,7 +15,7 @@
 #include "base/micros.h"
 #include "base/result.h"
 #include "config/settings.h"
-#include "core/io.h"
+#include "core/io/io.h"
 #include "runtime/http_server_connection.h"
 #include "runtime/listener.h"
 #include "runtime/socket.h"
--- a/src/runtime/http_server_connection.h
+++ b/src/runtime/http_server_connection.h
@@ -5,7 +5,7 @@
 #include <ev++.h>
 
 #include "base/micros.h"
-#include "core/io.h"
+#include "core/io/io.h"
 #include "http/message.h"
 #include "runtime/unique_fd.h"
 #include "runtime/write_buffer.h"
--- a/src/runtime/outbox_dispatcher.h
+++ b/src/runtime/outbox_dispatcher.h
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "config/settings.h"
-#include "core/io.h"
+#include "core/io/io.h"
 #include "runtime/http_client.h"
 #include "runtime/http_server.h"
 #include "runtime/peer_transport.h"
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -5,7 +5,7 @@
 #include <filesystem>
 #include <sstream>
 
-#include "core/records.h"
+#include "core/store/records.h"
 #include "runtime/clock.h"
 
 namespace troutlink::soak {
