--- a/src/http/message.cc
+++ b/src/http/message.cc
@@ -109,7 +109,7 @@
                                  {505, "HTTP Version Not Supported"}});
 
 std::string_view ReasonPhrase(int status) {
-  const auto entry = std::ranges::find(kReasonPhrases, status, &StatusPhrase::status);
+  const auto* entry = std::ranges::find(kReasonPhrases, status, &StatusPhrase::status);
   return entry == kReasonPhrases.end() ? "Status" : entry->phrase;
 }
 
