--- a/src/core/agents/commands.cc
+++ b/src/core/agents/commands.cc
@@ -88,7 +88,7 @@
     orders->push_back({Command::Op::kStop, task.job, task.task, task.attempt, 0});
     return;
   }
-  if (JobOver(task.job)) StopAttempt(now, attempt, known, 0);
+  if (jobs_.IsOver(task.job)) StopAttempt(now, attempt, known, 0);
   if (!known->stopping) return;
   const bool saving = task.state == TaskState::kSaving;
   const bool overdue = saving && now - known->stop_at > 2 * known->grace + kGraceSlack;
@@ -106,7 +106,7 @@
     if (reported.count(attempt) != 0) continue;
     AttemptInfo* known = FindAttempt(attempt);
     if (known == nullptr || !known->fresh || known->gone || known->seen || known->direct ||
-        known->stopping || JobOver(attempt.job)) {
+        known->stopping || jobs_.IsOver(attempt.job)) {
       continue;
     }
     if (known->session != 0 && known->session != report.session) continue;
@@ -155,7 +155,7 @@
   for (const Attempt& attempt : machine.attempts) {
     AttemptInfo* known = FindAttempt(attempt);
     if (known == nullptr || known->gone) continue;
-    const bool over = JobOver(attempt.job);
+    const bool over = jobs_.IsOver(attempt.job);
     if ((known->seen || known->session != 0) && (known->stopping || over) && !known->stop_sent) {
       if (over) StopAttempt(now, attempt, known, 0);
       commands.orders.push_back(
--- a/src/core/agents/reports.cc
+++ b/src/core/agents/reports.cc
@@ -30,11 +30,11 @@
     AnswerReport(source, 400, wire::EncodeError("malformed report"));
     return;
   }
-  if (!feed_.synced() && !cancellations_.ReplicaWasComplete()) {
+  if (!sync_.feed().synced() && !cancellations_.ReplicaWasComplete()) {
     AnswerReport(source, 503, wire::EncodeError("not ready"));
     return;
   }
-  const int shard_id = ShardOfMachine(report->machine);
+  const int shard_id = replica_.ShardOfMachine(report->machine);
   if (shard_id < 0) {
     OnUnassignedReport(now, source, *report, body);
     return;
@@ -128,7 +128,7 @@
 
 bool Core::MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const {
   const Shard& shard = ShardAt(shard_id);
-  if (StateFresh(now)) return false;
+  if (sync_.Fresh(now)) return false;
   const uint64_t epoch = std::max(shard.replica.leadership_version, shard.leadership.rival_epoch);
   if (epoch == 0 || report.token < TokenForEpoch(epoch)) return false;
   const std::string leader = LeaderLabel(shard_id);
@@ -201,7 +201,7 @@
 std::vector<Command> Core::StopsOfOver(const Report& report) const {
   std::vector<Command> stops;
   for (const TaskReport& task : report.tasks) {
-    if (task.state != TaskState::kExited && JobOver(task.job)) {
+    if (task.state != TaskState::kExited && jobs_.IsOver(task.job)) {
       stops.push_back({Command::Op::kStop, task.job, task.task, task.attempt, 0});
     }
   }
--- a/src/core/agents/silence.cc
+++ b/src/core/agents/silence.cc
@@ -111,7 +111,7 @@
 bool Core::IsLost(Micros now, const AssignedMachine& machine, const MachineInfo& info,
                   const SilenceOfShard& silence) const {
   // Without the state service no machine is given up: it may be we who are cut off.
-  if (!StateFresh(now)) return false;
+  if (!sync_.Fresh(now)) return false;
   const Micros silent = SilentFor(now, info);
   if (info.failed) return true;
   if (info.missing && silent > 3 * settings_.report / 2) return true;
@@ -145,7 +145,7 @@
   for (const Attempt& attempt : machine.attempts) {
     auto known = attempts_.find(attempt);
     if (known == attempts_.end() || known->second.gone || known->second.stopping) continue;
-    const JobEntry* job = FindJob(attempt.job);
+    const JobEntry* job = jobs_.Find(attempt.job);
     if (job == nullptr) continue;
     const JobSpec& spec = job->record.spec;
     const Micros running_at = known->second.running_at;
--- a/src/core/agents/worker_state.cc
+++ b/src/core/agents/worker_state.cc
@@ -84,7 +84,7 @@
                      " ms");
   }
   known->state = task.state;
-  const JobEntry* job = FindJob(attempt.job);
+  const JobEntry* job = jobs_.Find(attempt.job);
   if (task.state != TaskState::kFetching && job != nullptr && !job->record.spec.image.empty()) {
     NoteImageUse(&machines_[machine.name], machine.type, job->record.spec.image,
                  job->record.spec.image_gb, now);
@@ -102,7 +102,7 @@
   if (known.seen || !known.fresh) return true;
   // Decided but never started, and no longer wanted. A start in a reply to
   // an earlier report was taken or dropped before this report was made.
-  return (JobOver(attempt.job) || known.stopping) &&
+  return (jobs_.IsOver(attempt.job) || known.stopping) &&
          (known.reply_seq == 0 || known.reply_seq < report.seq);
 }
 
@@ -148,7 +148,7 @@
       break;
     case ExitReason::kError:
     case ExitReason::kUnknown:
-      if (!JobOver(attempt.job)) health_.Failed(now, machine.name, attempt.job);
+      if (!jobs_.IsOver(attempt.job)) health_.Failed(now, machine.name, attempt.job);
       effects_.Log(
           LogLine::Level::kDebug,
           "failed: " + attempt.job + "/" + std::to_string(attempt.task) + " on " + machine.name);
@@ -163,7 +163,7 @@
 
 void Core::TaskDone(Micros now, int shard_id, const Attempt& attempt, Micros running_at) {
   auto found = runs_.find(attempt.job);
-  const JobEntry* job = FindJob(attempt.job);
+  const JobEntry* job = jobs_.Find(attempt.job);
   if (found == runs_.end() || job == nullptr) return;
   JobRun& run = found->second;
   const auto task = static_cast<size_t>(attempt.task);
--- a/src/core/api/forwarding.cc
+++ b/src/core/api/forwarding.cc
@@ -16,7 +16,7 @@
   OpenRequest& open = open_[request.id];
   open.request = request;
   open.since = now;
-  if (!StateFresh(now) || !feed_.synced() || types_.empty()) ForwardRequest(now, &open);
+  if (!sync_.Fresh(now) || !sync_.feed().synced() || types_.empty()) ForwardRequest(now, &open);
   Route(now, request);
 }
 
@@ -59,7 +59,8 @@
 // A peer of version 1 would store a job without the dependencies that it does not know: its tasks
 // would start at once, and it would not be cancelled with the jobs before it.
 bool Core::MayPassOn(const Request& request) const {
-  if (all_nodes_current_ || request.method != "POST" || wire::ParseJobPath(request.target)) {
+  if (cluster_version_.all_current() || request.method != "POST" ||
+      wire::ParseJobPath(request.target)) {
     return true;
   }
   const wire::SpecResult spec = wire::DecodeSubmission(request.body);
--- a/src/core/api/queries.cc
+++ b/src/core/api/queries.cc
@@ -21,15 +21,15 @@
 }  // namespace
 
 void Core::Poll(Micros now, Query query) {
-  const JobEntry* entry = FindJob(query.id);
+  const JobEntry* entry = jobs_.Find(query.id);
   // Final states never change, so a copy of one is as good as the original.
   if (entry != nullptr && entry->record.state != JobState::kOpen) {
     AnswerQuery(now, query);
     return;
   }
-  if (!feed_.synced() || queries_.size() >= kMaxQueries) {
+  if (!sync_.feed().synced() || queries_.size() >= kMaxQueries) {
     Answer(query.request, 503, wire::EncodeError("not ready"),
-           feed_.synced() ? SpreadRetry(query.id) : kRetryAfter);
+           sync_.feed().synced() ? SpreadRetry(query.id) : kRetryAfter);
     return;
   }
   queries_.push_back(std::move(query));
@@ -48,11 +48,11 @@
   if (!state_budget_.Has(now, kQueryReserve)) return;
   std::map<std::string, uint64_t> versions;
   std::vector<Query> batch;
-  const auto most = static_cast<size_t>(Limits().conditions());
+  const auto most = static_cast<size_t>(cluster_version_.limits().conditions());
   while (!queries_.empty() && versions.size() < most) {
     Query query = std::move(queries_.front());
     queries_.pop_front();
-    const JobEntry* entry = FindJob(query.id);
+    const JobEntry* entry = jobs_.Find(query.id);
     versions[query.id] = entry == nullptr ? 0 : entry->version;
     batch.push_back(std::move(query));
   }
@@ -78,7 +78,7 @@
     }
     return;
   }
-  state_ok_ = now;
+  sync_.RecordAnswer(now);
   std::set<std::string> stale;
   for (const std::string& key : reply->failed) stale.insert(ParseKey(key).id);
   for (const std::string& id : stale) FetchJob(now, id);
@@ -107,9 +107,9 @@
         std::optional<wire::StatePage> page;
         if (status == 200) page = wire::DecodeList(body);
         if (page) {
-          state_ok_ = answered;
+          sync_.RecordAnswer(answered);
           for (const StateItem& item : page->items) {
-            ApplyPut(answered, item.key, item.value, item.version);
+            replica_.ApplyPut(answered, item.key, item.value, item.version);
           }
         }
         then(answered, page.has_value());
@@ -129,20 +129,20 @@
     auto progress = shard.replica.progress.find(id);
     if (progress != shard.replica.progress.end())
       out.done = static_cast<int64_t>(progress->second.size());
-    auto placed = shard.replica.use.jobs.find(id);
-    if (placed != shard.replica.use.jobs.end()) out.running = placed->second;
+    auto placed = shard.usage.total.jobs.find(id);
+    if (placed != shard.usage.total.jobs.end()) out.running = placed->second;
   }
   out.state = out.running > 0 ? JobPhase::kRunning : JobPhase::kQueued;
   return out;
 }
 
 bool Core::KnowsCancellations(Micros now) const {
-  return now - feed_.complete_up_to() < settings_.cancel / 2;
+  return now - sync_.feed().complete_up_to() < settings_.cancel / 2;
 }
 
 // The state service has confirmed the job's own record, or it is final.
 void Core::AnswerQuery(Micros now, const Query& query) {
-  const JobEntry* entry = FindJob(query.id);
+  const JobEntry* entry = jobs_.Find(query.id);
   if (entry == nullptr) {
     Answer(query.request, 404, wire::EncodeError("no such job"));
     return;
@@ -151,8 +151,8 @@
     AnswerFinished(query, *entry);
     return;
   }
-  const OpenAnswerFacts facts{FateOf(query.id), !entry->record.spec.dependencies.empty(),
-                              now - feed_.complete_up_to(), settings_.cancel / 2};
+  const OpenAnswerFacts facts{jobs_.StateOf(query.id), !entry->record.spec.dependencies.empty(),
+                              now - sync_.feed().complete_up_to(), settings_.cancel / 2};
   const Result<OpenAnswerPermit, Refusal> judged = facts.Judge();
   if (judged && query.kind != Query::Kind::kAbort) {
     AnswerOpen(*judged, query, *entry);
@@ -187,7 +187,7 @@
 }
 
 void Core::Abort(Micros now, Query query) {
-  const JobEntry* entry = FindJob(query.id);
+  const JobEntry* entry = jobs_.Find(query.id);
   if (entry == nullptr) {
     query.unknown_job = true;
     Poll(now, std::move(query));  // 404 only once the state service confirms it
@@ -203,7 +203,7 @@
     Answer(query.request, 200, wire::EncodeJobState(query.id, PhaseOf(entry->record.state)));
     return;
   }
-  if (++query.tries > kMaxCancelTries || !StateFresh(now)) {
+  if (++query.tries > kMaxCancelTries || !sync_.Fresh(now)) {
     Answer(query.request, 503, wire::EncodeError("not stored"), kRetryAfter);
     return;
   }
@@ -225,11 +225,11 @@
                              const std::string& body) {
   std::optional<wire::TxnReply> reply;
   if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
-  if (reply) state_ok_ = now;
+  if (reply) sync_.RecordAnswer(now);
   if (status == 200 && reply) {
     // Peers must be able to hear of it before the user does.
     next_heartbeat_ = now;
-    ApplyPut(now, write.key, write.value, reply->revision);
+    replica_.ApplyPut(now, write.key, write.value, reply->revision);
     Answer(query.request, 200, wire::EncodeJobState(query.id, JobPhase::kCancelled));
   } else if (status == 409) {
     FetchJob(now, query.id);
--- a/src/core/api/shard_choice.cc
+++ b/src/core/api/shard_choice.cc
@@ -19,8 +19,8 @@
   auto progress = shard.replica.progress.find(id);
   if (progress != shard.replica.progress.end())
     waiting -= static_cast<int64_t>(progress->second.size());
-  auto placed = shard.replica.use.jobs.find(id);
-  if (placed != shard.replica.use.jobs.end()) waiting -= placed->second;
+  auto placed = shard.usage.total.jobs.find(id);
+  if (placed != shard.usage.total.jobs.end()) waiting -= placed->second;
   return waiting;
 }
 
@@ -28,10 +28,10 @@
   if (now_ - waits_at_ < kWaitsAge && !waits_.empty()) return waits_;
   waits_at_ = now_;
   waits_.assign(shards_.size(), {});
-  for (const std::string& id : open_jobs_) {
-    const JobRecord& record = jobs_.at(id).record;
+  for (const std::string& id : jobs_.open()) {
+    const JobRecord& record = jobs_.At(id).record;
     if (record.shard_id < 0 || record.shard_id >= settings_.shard_count()) continue;
-    if (jobs_.at(id).blocked) continue;
+    if (jobs_.At(id).blocked) continue;
     const int64_t waiting = WaitingTasks(id, record);
     if (waiting > 0) AddWaiting(record.shard_id, record.spec, waiting);
   }
@@ -53,7 +53,7 @@
     Room& room = rooms[shard_id];
     room.waiting = static_cast<double>(waits[shard_id][static_cast<size_t>(spec.priority)]);
     JobSpread spread, ready_spread;
-    for (const MachineUse& use : shard.replica.machine_use) {
+    for (const MachineUse& use : shard.usage.machines) {
       AddRoom(spec, use, &room, &spread, &ready_spread);
     }
     room.now_free = room.free - room.waiting;
--- a/src/core/api/submissions.cc
+++ b/src/core/api/submissions.cc
@@ -35,7 +35,7 @@
   query.request = request.id;
   query.id = spec->id;
   query.since = now;
-  if (FindJob(spec->id) != nullptr) {
+  if (jobs_.Find(spec->id) != nullptr) {
     Poll(now, std::move(query));
     return;
   }
@@ -46,21 +46,21 @@
     Answer(request.id, 422, wire::EncodeError(why));
     return;
   }
-  if (!feed_.synced() || types_.empty() || !StateFresh(now)) {
+  if (!sync_.feed().synced() || types_.empty() || !sync_.Fresh(now)) {
     ++counters_.refused;
     Answer(request.id, 503, wire::EncodeError("not ready"), kRetryAfter);
     return;
   }
   // Acceptance comes before all other writes: it only stops when the node is
   // deep in debt, and otherwise lets the service itself say that it is too much.
-  if (write_budget_.have() < -Limits().write_rps / 2) {
+  if (write_budget_.have() < -cluster_version_.limits().write_rps / 2) {
     ++counters_.refused;
     Answer(request.id, 429, wire::EncodeError("too many submissions"), SpreadRetry(spec->id));
     return;
   }
   if (!spec->dependencies.empty()) {
     // A node of version 1 would start the job's tasks at once.
-    if (!all_nodes_current_) {
+    if (!cluster_version_.all_current()) {
       ++counters_.refused;
       Answer(request.id, 503, wire::EncodeError("not all nodes know dependencies yet"),
              kRetryAfter);
@@ -74,7 +74,7 @@
 
 std::string Core::BadDependency(const JobSpec& spec) const {
   for (const std::string& id : spec.dependencies) {
-    const JobEntry* job = FindJob(id);
+    const JobEntry* job = jobs_.Find(id);
     if (job != nullptr && job->record.spec.kind == JobKind::kService) {
       return "services are never done: " + id;
     }
@@ -86,7 +86,7 @@
 // state service says of it counts.
 void Core::ResolveDependencies(Micros now, const Query& query, JobSpec spec) {
   auto unknown = std::find_if(spec.dependencies.begin(), spec.dependencies.end(),
-                              [this](const std::string& id) { return FindJob(id) == nullptr; });
+                              [this](const std::string& id) { return jobs_.Find(id) == nullptr; });
   if (unknown == spec.dependencies.end()) {
     const std::string why = BadDependency(spec);
     if (!why.empty()) {
@@ -108,7 +108,7 @@
     if (!read) {
       ++counters_.refused;
       Answer(query.request, 503, wire::EncodeError("state service does not answer"), kRetryAfter);
-    } else if (FindJob(id) == nullptr) {
+    } else if (jobs_.Find(id) == nullptr) {
       Answer(query.request, 422, wire::EncodeError("never accepted: " + id));
     } else {
       ResolveDependencies(answered, query, spec);
@@ -135,7 +135,7 @@
   record.spec = std::move(spec);
   // One that needs a cancelled job is accepted, and cancelled from the start.
   JobPhase phase = JobPhase::kQueued;
-  if (HasCancelledDependency(record.spec)) {
+  if (jobs_.HasCancelledDependency(record.spec)) {
     record.state = JobState::kCancelled;
     phase = JobPhase::kCancelled;
   }
@@ -160,9 +160,9 @@
                                                                const std::string& body) {
                   std::optional<wire::TxnReply> reply;
                   if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
-                  if (reply) state_ok_ = answered;
+                  if (reply) sync_.RecordAnswer(answered);
                   if (status == 200 && reply) {
-                    ApplyPut(answered, write.key, write.value, reply->revision);
+                    replica_.ApplyPut(answered, write.key, write.value, reply->revision);
                     ++counters_.accepted;
                     effects_.Log(LogLine::Level::kDebug,
                                  "accepted " + query.id + " " + job_class + waits_for);
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -31,11 +31,20 @@
       boot_(boot),
       started_(now),
       wall_offset_(wall - now),
-      shards_(static_cast<size_t>(settings.shard_count())),
+      jobs_(&cancellations_, this),
+      cluster_version_(settings_),
+      replica_(settings.shard_count(), &jobs_, &cluster_version_, &effects_, this),
+      sync_(
+          settings_, boot,
+          {&replica_, &jobs_, &cluster_version_, &effects_, &state_budget_, &write_budget_, this}),
       session_lease_(FromSeconds(settings.op.claim_life_s())),
       cancellations_(settings.cancel, settings.lease),
       health_(static_cast<int>(settings.op.machine_failures()),
               static_cast<int>(settings.op.job_failures())) {
+  shards_.reserve(static_cast<size_t>(settings_.shard_count()));
+  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
+    shards_.emplace_back(replica_.records(shard_id));
+  }
   // A late answer to the process before this one must not be taken for an
   // answer to us: numbers begin where no earlier process is likely to have been.
   const uint64_t base = (boot_ & 0xffffffffu) << 24;
@@ -78,11 +87,6 @@
   effects_.SendReply({request, status, std::move(body), retry_after_s});
 }
 
-const Core::JobEntry* Core::FindJob(const std::string& id) const {
-  auto it = jobs_.find(id);
-  return it == jobs_.end() ? nullptr : &it->second;
-}
-
 const Team* Core::FindTeam(const std::string& name) const {
   for (const Team& team : settings_.teams) {
     if (team.name == name) return &team;
@@ -93,7 +97,7 @@
 // What every input may have made possible.
 void Core::After(Micros now) {
   RunQueries(now);
-  if (feed_.synced()) RunRounds(now);
+  if (sync_.feed().synced()) RunRounds(now);
 }
 
 Outbox Core::HandleRequest(Micros now, const Request& request) {
@@ -166,7 +170,7 @@
                                    [](const Shard& shard) { return shard.leadership.is_leader; });
   const double share = kShareOfLimits * static_cast<double>(std::max<std::ptrdiff_t>(1, owned)) /
                        settings_.shard_count();
-  write_budget_.SetRate(now, Limits().write_rps * share);
+  write_budget_.SetRate(now, cluster_version_.limits().write_rps * share);
   state_budget_.SetRate(now, settings_.state_rps * share);
   cloud_budget_.SetRate(now, settings_.cloud_rps * share);
 }
@@ -182,16 +186,12 @@
     }
     unwell_at_ = now;
   }
-  if (!StateFresh(now)) unwell_at_ = now;
-  switch (feed_.Due(now)) {
-    case ReplicaFeed::Step::kList: StartList(now); break;
-    case ReplicaFeed::Step::kWatch: StartWatch(now); break;
-    case ReplicaFeed::Step::kWait: break;
-  }
+  if (!sync_.Fresh(now)) unwell_at_ = now;
+  sync_.Run(now);
   if (now >= next_heartbeat_) Heartbeat(now);
-  PublishVersion(now);
+  sync_.PublishVersion(now);
   RunLease(now);
-  if (feed_.synced()) RunElections(now);
+  if (sync_.feed().synced()) RunElections(now);
   ShareLimits(now);
   RunCloud(now);
   EndStaleRelays(now);
@@ -254,22 +254,20 @@
   put("renewed_as_former_leader_total", c.renewed_as_former_leader);
   put("replica_lists_total", c.lists);
   put("replica_watches_total", c.watches);
-  put("replica_revision", feed_.revision());
-  put("replica_age_ms", static_cast<uint64_t>((now - feed_.complete_up_to()) / kMilli));
+  put("replica_revision", sync_.feed().revision());
+  put("replica_age_ms", static_cast<uint64_t>((now - sync_.feed().complete_up_to()) / kMilli));
   const Micros bound = cancellations_.RenewalBound(now);
   put("renewal_bound_ms", static_cast<uint64_t>(std::max<Micros>(0, bound - now) / kMilli));
   put("cancellations_total", c.cancellations);
   put("told_cancellations_total", c.told_cancellations);
   put("kept_from_forwarding_total", c.kept_from_forwarding);
-  put("orphans_total", c.orphans);
+  put("orphans_total", c.cascade_cancelled);
   put("refused_by_limits_total", c.refused_by_limits);
-  put("cluster_version", all_nodes_current_ ? kStoredFormVersion : kStoredFormVersion - 1);
-  put("state_value_bytes", static_cast<uint64_t>(Limits().value_bytes));
-  put("state_transaction_changes", static_cast<uint64_t>(Limits().txn_ops));
-  put("blocked_jobs", static_cast<uint64_t>(std::count_if(
-                          open_jobs_.begin(), open_jobs_.end(),
-                          [this](const std::string& id) { return jobs_.at(id).blocked; })));
-  put("jobs", jobs_.size());
+  put("cluster_version", cluster_version_.number());
+  put("state_value_bytes", static_cast<uint64_t>(cluster_version_.limits().value_bytes));
+  put("state_transaction_changes", static_cast<uint64_t>(cluster_version_.limits().txn_ops));
+  put("blocked_jobs", jobs_.CountBlocked());
+  put("jobs", jobs_.jobs().size());
   put("attempts", attempts_.size());
   put("machines", machines_.size());
   return out + PermitMetrics();
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -25,9 +25,14 @@
 #include "core/leadership/permits.h"
 #include "core/leadership/session_lease.h"
 #include "core/scheduler/placement.h"
-#include "core/store/dependencies.h"
+#include "core/store/cluster_version.h"
+#include "core/store/job_entry.h"
+#include "core/store/job_table.h"
 #include "core/store/records.h"
-#include "core/store/replica_feed.h"
+#include "core/store/replica.h"
+#include "core/store/replica_observer.h"
+#include "core/store/replica_sync.h"
+#include "core/store/shard_records.h"
 #include "wire/messages.h"
 
 namespace troutlink {
@@ -47,12 +52,12 @@
   uint64_t rented_machines = 0, refused_rentals = 0, returned = 0, adopted = 0;
   uint64_t elections = 0, lost_leaderships = 0, handed_back = 0;
   uint64_t unresponsive = 0;
-  uint64_t orphans = 0;            // jobs that a cancellation of another one cancels
+  uint64_t cascade_cancelled = 0;  // jobs cancelled because one that they depend on was
   uint64_t refused_by_limits = 0;  // 400s of the state service
   uint64_t tails = 0, helpers = 0, overdue = 0, preempted = 0, fencing_raises = 0;
 };
 
-class Core {
+class Core : private ReplicaObserver {
  public:
   // `boot` differs at every start of the process.
   Core(const Settings& settings, uint64_t boot, Micros now, Micros wall);
@@ -69,9 +74,9 @@
   bool IsLeader(int shard_id) const {
     return shards_[static_cast<size_t>(shard_id)].leadership.is_leader;
   }
-  bool Synced() const { return feed_.synced(); }
+  bool Synced() const { return sync_.feed().synced(); }
   const AssignmentTable& AssignmentsOf(int shard_id) const {
-    return shards_[static_cast<size_t>(shard_id)].replica.assignments;
+    return replica_.records(shard_id).assignments;
   }
   std::string MetricsText(Micros now) const;
   // Actions that must never have come up for decision, and were not carried out.
@@ -83,22 +88,6 @@
   struct AttemptInfo;
   struct MachineInfo;
 
-  // --- replica (replica.cc): what the state service holds, as last heard -----------
-  struct JobEntry {
-    // The specification is dropped once the job is over. Its priority is the one that the job
-    // is served with: its own or that of a job that depends on it.
-    JobRecord record;
-    uint64_t version = 0;
-    Priority own_priority = Priority::kLow;
-    bool blocked = false;  // waits for a job that it depends on
-    Micros ready_at = 0;   // time of day from which it may start, once it is not blocked
-    Micros inherited_latest_start = Urgency::kNoLimit;  // time of day, by its dependents
-  };
-  struct Chunk {
-    uint64_t version = 0;
-    std::vector<std::string> names;  // of its machines
-    size_t bytes = 0;
-  };
   // What a shard's attempts use, counted once for each change of its assignment table.
   struct Use {
     std::map<std::string, Share> teams;
@@ -126,26 +115,12 @@
     MachineInfo* info = nullptr;
     std::vector<Slot> slots;
   };
-  // What the replica holds of one shard.
-  struct ShardReplica {
-    uint64_t leadership_version = 0;  // 0: nobody holds it
-    Leadership leadership_record;
-    std::map<int, Chunk> chunks;  // of the table's form
-    // Of a table in the compact form: what is left of the original one, which does not change
-    // any more.
-    std::map<int, Chunk> original_chunks;
-    std::map<std::string, AssignedMachine> original_machines;
-    AssignmentTable assignments;
-    std::unordered_map<std::string, int> chunk_of;  // of its machines, as stored
-    Use use;
-    std::vector<MachineUse> machine_use;
+  // What the attempts of one shard use, counted anew when its assignment table changes.
+  struct ShardUsage {
+    Use total;
+    std::vector<MachineUse> machines;  // of the table, by name
     size_t attempts = 0;
     bool any_leaving = false;
-    bool sync_due = false;                       // the assignment table changed
-    std::map<int, uint64_t> progress_versions;   // by page
-    std::map<int, std::string> progress_values;  // as stored
-    Progress progress;                           // of open jobs, of all pages
-    Micros changed_at = 0;                       // last change of the assignment table
   };
   // Who leads one shard, as far as this node knows.
   struct ShardLeadership {
@@ -192,72 +167,38 @@
     Micros peak_at = 0;
   };
   struct Shard {
-    ShardReplica replica;
+    explicit Shard(const ShardRecords& records) : replica(records) {}
+
+    const ShardRecords& replica;  // as last read; written by the store module
+    ShardUsage usage;
     ShardLeadership leadership;
     CycleState cycle;
   };
 
-  // Reads everything, page by page, and then begins to watch.
-  void StartList(Micros now);
-  void ReadListPage(const std::string& after);
-  void OnListPage(Micros now, int status, const std::string& body);
-  void FinishList(Micros now);
-  // What was deleted while no watch could tell.
-  void EraseUnlisted(Micros now);
-  void StartWatch(Micros now);
-  void OnWatchAnswered(Micros now, Micros sent, int status, const std::string& body);
-  // A record as the state service holds it: by a list, a watch or our own commit. One that
-  // is not newer than the replica's changes nothing. ReindexShards follows a batch of them.
-  void ApplyPut(Micros now, const std::string& name, const std::string& value, uint64_t version);
-  void ApplyErase(Micros now, const std::string& name, uint64_t version);
-  void ApplyJob(Micros now, const std::string& id, const std::string& value, uint64_t version);
-  void ApplyOpenJob(const std::string& id, const JobEntry& entry);
-  void ApplyFinishedJob(Micros now, const std::string& id, JobEntry* entry);
-  void ApplyLeadership(Micros now, int shard_id, const std::string& value, uint64_t version);
-  void ApplyProgress(int shard_id, int page, const std::string& value, uint64_t version);
-  void ApplyTypes(const std::string& value);
-  void ApplyChunk(Micros now, const Key& key, const std::string& value, uint64_t version);
-  void ApplyHeader(Micros now, int shard_id, AssignmentTable header);
-  // The first value of the compact form of a table was read.
-  static void BeginCompactForm(Shard* shard);
-  void ApplyOriginalChunk(Micros now, const Key& key, const std::string& value, uint64_t version);
-  // Machines of the original form that the compact form has by now, or no longer has at all.
-  void DropMigratedMachines(Micros now, int shard_id);
-  // The machine is no longer in the shard's assignment table, or is there as given.
-  void RemoveMachine(Micros now, int shard_id, const std::string& name);
-  void PutMachine(Micros now, int shard_id, AssignedMachine machine);
-  void ReindexShards(Micros now);
+  // --- replica (replica_events.cc): what its changes mean for everything else ------
+  void OnJobOpen(const std::string& id, const JobEntry& entry) override;
+  void OnJobFinished(Micros now, const std::string& id, const JobEntry& entry) override;
+  void OnJobUnblocked(const std::string& id, const JobEntry& entry) override;
+  void OnUrgencyUpdated(const std::string& id, const JobEntry& entry) override;
+  void OnCascadeCancelled(const std::string& id, size_t count) override;
+  void OnMachineAssigned(Micros now, int shard_id, const AssignedMachine& machine) override;
+  void OnMachineUnassigned(Micros now, const std::string& machine) override;
+  void OnTableChanged(Micros now, int shard_id) override;
+  void OnLeadershipRecord(Micros now, int shard_id, const Leadership& leadership,
+                          uint64_t revision) override;
+  void OnLeadershipErased(Micros now, int shard_id, uint64_t revision) override;
+  void OnMachineTypes(const std::string& value) override;
+  void OnCaughtUp(Source source, Micros complete_up_to) override;
+  void OnStateWriteSent() override;
+  ShardUsage UsageOf(const AssignmentTable& table) const;
   MachineUse CountUse(const AssignedMachine& machine) const;
   // Whether there is such a shard, and this node leads it.
   bool LeadsShard(int shard_id) const;
-  static void DropFinishedSpec(JobEntry* entry);
-  int ShardOfMachine(const std::string& name) const;
+  void LogCancellation(Micros now, const std::string& id, std::string_view source);
 
   Shard& ShardAt(int shard_id) { return shards_[static_cast<size_t>(shard_id)]; }
   const Shard& ShardAt(int shard_id) const { return shards_[static_cast<size_t>(shard_id)]; }
 
-  // --- cluster version (cluster_version.cc) ----------------------------------------
-  struct NodeVersion {
-    uint64_t version = 1;
-    uint64_t revision = 0;
-  };
-  void PublishVersion(Micros now);
-  bool HoldsEarlierLeadership() const;
-  void ApplyNodeVersion(const std::string& label, const std::string& value, uint64_t revision);
-  const StateLimits& Limits() const;
-
-  // --- pipelines (pipelines.cc): jobs that depend on others ------------------------
-  void NoteOpenJob(const std::string& id);
-  void NoteFinishedJob(const std::string& id);
-  bool HasCancelledDependency(const JobSpec& spec) const;
-  // The job and all that depend on it are cancelled with a job that they depend on; their
-  // records are not yet.
-  void AddOrphan(const std::string& id);
-  void CheckDependencies(const std::string& id);
-  Urgency OwnUrgency(const JobEntry& entry) const;
-  static Micros StageTime(const JobSpec& spec);
-  void ApplyInheritedUrgency(const std::string& id);
-
   // --- heartbeats (heartbeats.cc): what controllers tell each other ----------------
   void Heartbeat(Micros now);
   // `seen`: the receiver's replica holds all up to this revision.
@@ -303,7 +244,6 @@
   void LoseAllLeaderships(Micros now, const char* why);
   void HandBack(Micros now, int shard_id);
   std::string LeaderLabel(int shard_id) const;
-  bool StateFresh(Micros now) const { return now - state_ok_ < 1500 * kMilli; }
   // Whether this process has just stood still, and has not ticked since. What had arrived for
   // it meanwhile may be handled before that tick.
   bool StoodStill(Micros now) const { return now_ != 0 && now - now_ > kStoodStill; }
@@ -570,11 +510,8 @@
   void StopAttempt(Micros now, const Attempt& attempt, AttemptInfo* info, Micros grace);
   void StopJob(Micros now, const std::string& job);
 
-  // --- what is known of a job, and permits (job_fate.cc) ---------------------------
-  JobFate FateOf(const std::string& id) const;
-  bool JobOver(const std::string& id) const;  // cancelled or done
+  // --- permits (permit_checks.cc) --------------------------------------------------
   void NoteViolation(Violation violation, const std::string& known);
-  void LogCancellation(Micros now, const std::string& id, std::string_view source);
   // Whether the replica of the shard's table holds the attempt on that machine.
   bool IsAssigned(int shard_id, const std::string& machine, const Attempt& attempt) const;
   std::optional<StartPermit> JudgeStart(Micros now, int shard_id, const std::string& machine,
@@ -701,7 +638,7 @@
                    bool progress = false);
   // job_records.cc: changes of job records and progress that need no change of the table.
   bool CommitJobRecords(Micros now, int shard_id);
-  void WriteOrphans(int shard_id, StateTxn* txn) const;
+  void WriteCascadeCancelled(int shard_id, StateTxn* txn) const;
   void WriteDoneRecords(Micros now, int shard_id, StateTxn* txn) const;
   bool WriteProgressPages(Micros now, int shard_id, StateTxn* txn);
   Progress ProgressOf(int shard_id) const;
@@ -804,7 +741,6 @@
   void Answer(uint64_t request, int status, std::string body, int retry_after_s = 0);
   void ShareLimits(Micros now);
   void After(Micros now);
-  const JobEntry* FindJob(const std::string& id) const;
   const Team* FindTeam(const std::string& name) const;
   Micros WallNow(Micros now) const { return now + wall_offset_; }
 
@@ -823,28 +759,13 @@
   Tally<Violation, kViolations> violations_;
 
   // Replica.
-  ReplicaFeed feed_;
-  struct ListItem {
-    std::string value;
-    uint64_t version = 0;
-  };
-  std::map<std::string, ListItem> list_items_;
-  Micros state_ok_ = 0;  // last answer of the state service
-  std::unordered_map<std::string, JobEntry> jobs_;
-  std::set<std::string> open_jobs_;
-  std::map<std::string, NodeVersion> node_versions_;  // by label
-  bool all_nodes_current_ = false;                    // every node has our version; for good
-  bool publishing_version_ = false;
-  Micros publish_version_after_ = 0;
-  DependencyGraph dependencies_;
-  std::set<std::string> orphans_;  // open jobs that depend on a cancelled one
+  JobTable jobs_;
+  ClusterVersion cluster_version_;
+  Replica replica_;
+  ReplicaSync sync_;
   Waits waits_;
   Micros waits_at_ = -kSecond;
-  bool spread_seen_ = false;  // some service spreads over zones
-  std::set<std::string> service_images_;
-  std::set<std::string> service_teams_;  // that ever had a service
   std::vector<Shard> shards_;
-  std::map<std::string, int> machine_shard_;
 
   // Leadership.
   SessionLease session_lease_;
--- a/src/core/fleet/cloud.cc
+++ b/src/core/fleet/cloud.cc
@@ -34,7 +34,7 @@
     }
     bool all = true;
     for (const std::string& name : state->second.machines) {
-      if (ShardOfMachine(name) >= 0) continue;
+      if (replica_.ShardOfMachine(name) >= 0) continue;
       if (!plan->MayChange(name)) {
         all = false;  // in a later round; until then the rental stays on record
         continue;
@@ -97,7 +97,8 @@
 bool Core::AdoptStray(int shard_id, AssignedMachine machine, Plan* plan) {
   const std::string name = machine.name;
   if (static_cast<int>(StableHash(name) % shards_.size()) != shard_id) return false;
-  if (ShardOfMachine(name) >= 0 || plan->assignments.machines.count(name) != 0) return false;
+  if (replica_.ShardOfMachine(name) >= 0 || plan->assignments.machines.count(name) != 0)
+    return false;
   if (departed_.count(name) != 0 || !plan->MayChange(name)) return false;
   if (MayBeRented(shard_id, machine, *plan)) return false;
   plan->assignments.machines[name] = std::move(machine);
@@ -169,7 +170,7 @@
 
 void Core::SendReturns(Micros now, int shard_id) {
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  if (!shard.leadership.is_leader || !shard.replica.any_leaving) return;
+  if (!shard.leadership.is_leader || !shard.usage.any_leaving) return;
   std::vector<std::string> names;
   for (const auto& [name, m] : shard.replica.assignments.machines) {
     MachineInfo& info = machines_[name];
@@ -220,7 +221,7 @@
   if (!types || types->empty()) return;
   types_ = std::move(*types);
   // Kept for the day on which we start while the cloud is away.
-  if (!types_stored_.empty() || !feed_.synced() || !write_budget_.Take(now, 1, 2)) return;
+  if (!types_stored_.empty() || !sync_.feed().synced() || !write_budget_.Take(now, 1, 2)) return;
   types_stored_ = body;
   StateTxn txn;
   txn.writes.push_back({std::string(kRoot) + "types", body, 0, false});
@@ -275,7 +276,7 @@
   std::set<std::string> names;
   for (const ListedMachine& m : listed_) {
     names.insert(m.name);
-    int shard_id = ShardOfMachine(m.name);
+    int shard_id = replica_.ShardOfMachine(m.name);
     if (shard_id < 0) {
       stray_since_.try_emplace(m.name, now);
       continue;
@@ -306,7 +307,7 @@
     return names.count(s.first) == 0 && unknown_.count(s.first) == 0;
   });
   std::erase_if(machines_, [&](const auto& m) {
-    return machine_shard_.count(m.first) == 0 && names.count(m.first) == 0 &&
+    return replica_.ShardOfMachine(m.first) < 0 && names.count(m.first) == 0 &&
            now - std::max(m.second.heard, m.second.redirected_at) > 120 * kSecond;
   });
 }
@@ -325,12 +326,12 @@
   }
   if (now >= next_judge_) next_judge_ = now + kJudgePeriod;
   // Rentals and returns come first.
-  if (any && feed_.synced() && list_busy_ && !list_after_.empty()) {
+  if (any && sync_.feed().synced() && list_busy_ && !list_after_.empty()) {
     if (now - machines_asked_ > kListPatience) {
       list_busy_ = false;  // its first pages are too old
     } else if (cloud_budget_.Take(now, 1, 1))
       AskMachines(now, std::string(list_after_));
-  } else if (any && feed_.synced() && !list_busy_ && now >= next_machines_ &&
+  } else if (any && sync_.feed().synced() && !list_busy_ && now >= next_machines_ &&
              cloud_budget_.Take(now, 1, 1)) {
     list_busy_ = true;
     AskMachines(now, "");
--- a/src/core/fleet/fleet.cc
+++ b/src/core/fleet/fleet.cc
@@ -87,7 +87,7 @@
   const Shard& shard = shards_[static_cast<size_t>(shard_id)];
   if (now - shard.leadership.elected_at > 2 * settings_.report + 2 * kSecond) return true;
   size_t up = 0, unknown = 0;
-  for (const MachineUse& use : shard.replica.machine_use) {
+  for (const MachineUse& use : shard.usage.machines) {
     if (use.machine->addr.empty()) continue;
     ++up;
     if (use.info == nullptr || use.info->session == 0) ++unknown;
--- a/src/core/fleet/rental_planner.cc
+++ b/src/core/fleet/rental_planner.cc
@@ -119,7 +119,7 @@
 int Core::RentalPlanner::WorthSteady(const Plan::Unplaced& unplaced, const MachineType& type,
                                      int tasks) const {
   const JobSpec& spec = *unplaced.spec;
-  const JobEntry* job = core_.FindJob(spec.id);
+  const JobEntry* job = core_.jobs_.Find(spec.id);
   const Micros wait = spot_cpus_ <= 0 ? kNoEnd : FromSeconds(cpus_ahead_ / spot_cpus_);
   const Micros latest = job == nullptr ? 0 : core_.LatestStart(*job);
   if (core_.WallNow(now_) + wait < latest) return 0;
@@ -145,7 +145,8 @@
 }
 
 void Core::RentalPlanner::AddSecondZone() {
-  if (!core_.spread_seen_ || plan_->headroom <= 0 || core_.settings_.zones.size() < 2) return;
+  if (!core_.jobs_.spread_seen() || plan_->headroom <= 0 || core_.settings_.zones.size() < 2)
+    return;
   std::map<std::string, int64_t> room;
   for (const PlaceMachine& machine : plan_->machines) {
     if (!machine.spot && machine.usable && machine.helps.empty()) {
--- a/src/core/fleet/returns.cc
+++ b/src/core/fleet/returns.cc
@@ -26,7 +26,7 @@
 
 // Whether services that spread would miss this machine's zone.
 bool Core::LastOfZone(const Plan& plan, const PlaceMachine& machine) const {
-  if (!spread_seen_ || settings_.zones.size() < 2) return false;
+  if (!jobs_.spread_seen() || settings_.zones.size() < 2) return false;
   std::map<std::string, int64_t> others = plan.index.RoomByZone(&machine);
   int zones = 0;
   for (const auto& [zone, cpus] : others) zones += cpus >= kZoneRoom ? 1 : 0;
@@ -41,7 +41,7 @@
   for (int image : machine.service_images) {
     const PlaceIndex::ImageRoom& image_room = plan.index.with_image(image);
     if (image_room.free - own < keep) return true;
-    if (!spread_seen_ || settings_.zones.size() < 2) continue;
+    if (!jobs_.spread_seen() || settings_.zones.size() < 2) continue;
     // Services that spread start at once only where two zones have it.
     int zones = 0;
     bool here = false;
@@ -259,7 +259,7 @@
   bool possible = true;
   for (const Attempt& attempt : plan->assignments.machines[machine.name].attempts) {
     auto known = attempts_.find(attempt);
-    const JobEntry* job = FindJob(attempt.job);
+    const JobEntry* job = jobs_.Find(attempt.job);
     possible = known != attempts_.end() && job != nullptr;
     if (!possible) break;
     const AttemptInfo& info = known->second;
--- a/src/core/leadership/heartbeats.cc
+++ b/src/core/leadership/heartbeats.cc
@@ -27,16 +27,16 @@
     static_cast<mesh::Heartbeat&>(ping) = MakeHeartbeat(now, peer.seen);
     ping.cached_images = cached_images;
     ping.seq = ++ping_seq_;
-    cancellations_.PingSent(label, ping.seq, now, feed_.revision());
+    cancellations_.PingSent(label, ping.seq, now, sync_.feed().revision());
     effects_.SendToPeer({label, std::move(ping)});
   }
 }
 
 mesh::Heartbeat Core::MakeHeartbeat(Micros now, uint64_t seen) const {
   mesh::Heartbeat heartbeat;
-  heartbeat.state_age_us =
-      static_cast<uint64_t>(state_ok_ == 0 ? now - started_ + 3600 * kSecond : now - state_ok_);
-  heartbeat.seen = feed_.revision();
+  heartbeat.state_age_us = static_cast<uint64_t>(
+      sync_.last_answer() == 0 ? now - started_ + 3600 * kSecond : now - sync_.last_answer());
+  heartbeat.seen = sync_.feed().revision();
   TellEpochs(&heartbeat);
   TellSilentMachines(now, &heartbeat);
   cancellations_.FillHeartbeat(seen, &heartbeat);
@@ -98,15 +98,15 @@
   auto info = machines_.find(machine);
   if (info == machines_.end()) return images;
   for (const auto& [image, used] : info->second.images) {
-    if (service_images_.count(image) != 0) images.push_back(image);
+    if (jobs_.IsServiceImage(image)) images.push_back(image);
   }
   return images;
 }
 
 bool Core::WantsOwnShard(Micros now) const {
   const Shard& own = ShardAt(settings_.own_shard);
-  return feed_.synced() && !own.leadership.is_leader && own.replica.leadership_version != 0 &&
-         StateFresh(now) && !StoodStill(now) &&
+  return sync_.feed().synced() && !own.leadership.is_leader &&
+         own.replica.leadership_version != 0 && sync_.Fresh(now) && !StoodStill(now) &&
          now - std::max(started_, unwell_at_) > FromSeconds(settings_.op.hand_back_after_s());
 }
 
@@ -153,21 +153,21 @@
 // Our replica may lag, or we may be cut off from the state service: the tasks must end
 // all the same.
 void Core::LearnCancellation(Micros now, const std::string& id) {
-  const JobEntry* job = FindJob(id);
+  const JobEntry* job = jobs_.Find(id);
   if (job != nullptr && job->record.state != JobState::kOpen) return;
   if (!cancellations_.AddReported(id)) return;
   ++counters_.told_cancellations;
   LogCancellation(now, id, "peer");
   StopJob(now, id);
   // A leader whose replica lags stores that what depends on it is cancelled too.
-  for (const std::string& dependent : dependencies_.DependentsOf(id)) AddOrphan(dependent);
+  jobs_.CascadeCancellation(id);
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     if (ShardAt(shard_id).leadership.is_leader) MarkDirty(shard_id);
   }
 }
 
 bool Core::LedByAnother(const std::string& machine) const {
-  const int shard_id = ShardOfMachine(machine);
+  const int shard_id = replica_.ShardOfMachine(machine);
   return shard_id >= 0 && !ShardAt(shard_id).leadership.is_leader;
 }
 
--- a/src/core/leadership/leadership.cc
+++ b/src/core/leadership/leadership.cc
@@ -30,7 +30,7 @@
                 [this](Micros answered, int status, const std::string& body) {
                   std::optional<uint64_t> id;
                   if (status == 200) id = wire::DecodeGrant(body);
-                  if (id) state_ok_ = answered;
+                  if (id) sync_.RecordAnswer(answered);
                   session_lease_.GrantAnswered(answered, id);
                 });
 }
@@ -43,7 +43,7 @@
                   using Renewal = SessionLease::Renewal;
                   const Renewal renewal = session_lease_.RenewAnswered(answered, id, status);
                   if (renewal == Renewal::kRenewed || renewal == Renewal::kEnded)
-                    state_ok_ = answered;
+                    sync_.RecordAnswer(answered);
                   if (renewal == Renewal::kEnded) LoseAllLeaderships(answered, "lease ended");
                 });
 }
@@ -113,11 +113,11 @@
                   shard.leadership.acquiring = false;
                   std::optional<wire::TxnReply> reply;
                   if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
-                  if (reply) state_ok_ = answered;
+                  if (reply) sync_.RecordAnswer(answered);
                   if (status == 200 && reply) {
                     for (const StateWrite& write : txn.writes)
-                      ApplyPut(answered, write.key, write.value, reply->revision);
-                    ReindexShards(answered);
+                      replica_.ApplyPut(answered, write.key, write.value, reply->revision);
+                    replica_.FinishBatch(answered);
                     if (!shard.leadership.is_leader || shard.leadership.epoch < reply->revision)
                       OnElected(answered, shard_id, reply->revision);
                   } else {
@@ -157,7 +157,7 @@
   }
   const int doublings = std::min(shard->leadership.election_conflicts++, kElectionDoublings);
   shard->leadership.no_election_before = now + (kElectionPause << doublings);
-  if (shard->leadership.election_conflicts % kConflictsBeforeList == 0) feed_.RequestList();
+  if (shard->leadership.election_conflicts % kConflictsBeforeList == 0) sync_.RequestList();
 }
 
 void Core::OnElected(Micros now, int shard_id, uint64_t revision) {
@@ -183,15 +183,15 @@
                    .With("shard", shard_id)
                    .With("epoch", revision)
                    .With("token", TokenForEpoch(revision))
-                   .With("replica_revision", feed_.revision())
-                   .WithSpan("replica_age_ms", now - feed_.complete_up_to())
+                   .With("replica_revision", sync_.feed().revision())
+                   .WithSpan("replica_age_ms", now - sync_.feed().complete_up_to())
                    .With("machines", shard.replica.assignments.machines.size())
                    .text());
   ForgetDecisions(shard_id);
   InheritMachines(now, shard_id);
   for (const auto& [id, rental] : shard.replica.assignments.rentals) rental_states_.erase(id);
-  for (const std::string& id : open_jobs_) {
-    const JobEntry& entry = jobs_.at(id);
+  for (const std::string& id : jobs_.open()) {
+    const JobEntry& entry = jobs_.At(id);
     if (entry.record.shard_id == shard_id) LoadRun(shard_id, id, entry);
   }
   SyncShard(now, shard_id);
@@ -272,7 +272,7 @@
 void Core::HandBack(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
   if (!shard.leadership.is_leader || shard.leadership.releasing || shard.cycle.committing ||
-      !StateFresh(now))
+      !sync_.Fresh(now))
     return;
   if (now - shard.leadership.elected_at < 5 * kSecond) return;
   // Not while many of its machines are being missed: the new leader would have to find
@@ -313,8 +313,8 @@
 bool Core::Up(Micros now) const {
   // The machine types follow within moments; waiting for them would cost a whole
   // round of the balancer's probes.
-  if (!feed_.synced()) return false;
-  if (StateFresh(now)) return true;
+  if (!sync_.feed().synced()) return false;
+  if (sync_.Fresh(now)) return true;
   // A peer decides for us, or nobody has the state service and there is no
   // better node to go to. Only a node that hears nobody steps aside.
   for (const auto& [label, peer] : peers_) {
--- a/src/core/store/job_fate.cc
+++ b/src/core/leadership/permit_checks.cc
@@ -1,4 +1,4 @@
-// What is known of a job, and the permits that follow from it.
+// Permits judged by what this controller knows, and the answers that need one.
 #include <algorithm>
 
 #include "core/core.h"
@@ -6,37 +6,12 @@
 
 namespace troutlink {
 
-JobFate Core::FateOf(const std::string& id) const {
-  const JobEntry* entry = FindJob(id);
-  if (entry != nullptr && entry->record.state == JobState::kDone) return JobFate::kDone;
-  const bool cancelled = entry != nullptr && entry->record.state == JobState::kCancelled;
-  if (cancelled || orphans_.count(id) != 0 || cancellations_.Reported(id)) {
-    return JobFate::kCancelled;
-  }
-  // Every attempt is of a job that was accepted: one that the replica lacks is yet to be read.
-  if (entry == nullptr) return JobFate::kUnknown;
-  return entry->blocked ? JobFate::kBlocked : JobFate::kOpen;
-}
-
-bool Core::JobOver(const std::string& id) const { return IsOver(FateOf(id)); }
-
 void Core::NoteViolation(Violation violation, const std::string& known) {
   violations_.Add(violation);
   effects_.Log(LogLine::Level::kError,
                Event("invariant_violated").With("kind", NameOf(violation)).text() + " " + known);
 }
 
-// `source`: how it was learnt.
-void Core::LogCancellation(Micros now, const std::string& id, std::string_view source) {
-  if (!effects_.logs_debug()) return;
-  effects_.Log(LogLine::Level::kDebug, Event("cancellation")
-                                           .With("job", id)
-                                           .With("source", source)
-                                           .With("revision", feed_.revision())
-                                           .WithSpan("replica_age_ms", now - feed_.complete_up_to())
-                                           .text());
-}
-
 bool Core::IsAssigned(int shard_id, const std::string& machine, const Attempt& attempt) const {
   const auto& machines = ShardAt(shard_id).replica.assignments.machines;
   auto found = machines.find(machine);
@@ -51,7 +26,7 @@
   facts.is_leader = ShardAt(shard_id).leadership.is_leader;
   facts.assigned = IsAssigned(shard_id, machine, attempt);
   facts.stood_still = StoodStill(now);
-  facts.fate = FateOf(attempt.job);
+  facts.job_state = jobs_.StateOf(attempt.job);
   facts.now = now;
   facts.cancellations_bound = cancellations_.RenewalBound(now);
   const Result<StartPermit, Refusal> judged = facts.Judge();
@@ -69,8 +44,8 @@
                                 .With("machine", machine)
                                 .With("shard", shard_id)
                                 .With("epoch", ShardAt(shard_id).leadership.epoch)
-                                .With("revision", feed_.revision())
-                                .WithSpan("replica_age_ms", now - feed_.complete_up_to())
+                                .With("revision", sync_.feed().revision())
+                                .WithSpan("replica_age_ms", now - sync_.feed().complete_up_to())
                                 .WithSpan("bound_ms", facts.cancellations_bound - now)
                                 .With("refused", judged ? "no" : judged.error().text)
                                 .text();
@@ -98,7 +73,7 @@
 void Core::AnswerRenewal(const RenewalPermit& /*permit*/, const ReportSource& source,
                          const Report& report, uint64_t token, std::vector<Command> orders) {
   for (const TaskReport& task : report.tasks) {
-    if (task.state == TaskState::kExited || !JobOver(task.job)) continue;
+    if (task.state == TaskState::kExited || !jobs_.IsOver(task.job)) continue;
     const bool stopped = std::any_of(orders.begin(), orders.end(), [&task](const Command& order) {
       return order.op == Command::Op::kStop && order.job == task.job && order.task == task.task &&
              order.attempt == task.attempt;
--- a/src/core/leadership/permits.cc
+++ b/src/core/leadership/permits.cc
@@ -53,12 +53,12 @@
 Result<StartPermit, Refusal> StartFacts::Judge() const {
   if (!is_leader) return Refuse(Refusal::kNotLeader);
   if (!assigned) return Refuse(Refusal::kNotAssigned);
-  switch (fate) {
-    case JobFate::kUnknown: return Refuse(Refusal::kJobUnknown);
-    case JobFate::kBlocked: return Refuse(Refusal::kJobBlocked);
-    case JobFate::kCancelled:
-    case JobFate::kDone: return Refuse(Refusal::kJobOver);
-    case JobFate::kOpen: break;
+  switch (job_state) {
+    case KnownJobState::kUnknown: return Refuse(Refusal::kJobUnknown);
+    case KnownJobState::kBlocked: return Refuse(Refusal::kJobBlocked);
+    case KnownJobState::kCancelled:
+    case KnownJobState::kDone: return Refuse(Refusal::kJobOver);
+    case KnownJobState::kOpen: break;
   }
   // The leadership may have passed on meanwhile, and cancellations been told, without a word of
   // either having been handled.
@@ -73,8 +73,8 @@
 }
 
 Result<OpenAnswerPermit, Refusal> OpenAnswerFacts::Judge() const {
-  if (fate == JobFate::kUnknown) return Refuse(Refusal::kJobUnknown);
-  if (IsOver(fate)) return Refuse(Refusal::kJobOver);
+  if (job_state == KnownJobState::kUnknown) return Refuse(Refusal::kJobUnknown);
+  if (IsOver(job_state)) return Refuse(Refusal::kJobOver);
   if (has_dependencies && replica_age >= most_age) return Refuse(Refusal::kReplicaStale);
   return OpenAnswerPermit();
 }
--- a/src/core/leadership/permits.h
+++ b/src/core/leadership/permits.h
@@ -16,23 +16,10 @@
 
 #include "base/micros.h"
 #include "base/result.h"
+#include "core/store/known_job_state.h"
 
 namespace troutlink {
 
-// What is known of a job: the one answer that every decision is made from.
-enum class JobFate {
-  kUnknown,    // the replica does not hold it
-  kBlocked,    // depends on a job that is not known to be done
-  kOpen,       // may start
-  kCancelled,  // by its record, by a peer's word, or with a job that it depends on
-  kDone,
-};
-
-// Whether tasks of the job have to end.
-constexpr bool IsOver(JobFate fate) {
-  return fate == JobFate::kCancelled || fate == JobFate::kDone;
-}
-
 // Why an action is refused. kRefusals counts them.
 enum class Refusal {
   kNotLeader,           // the node does not lead the shard
@@ -60,7 +47,7 @@
   bool is_leader = false;
   bool assigned = false;  // the shard's committed table holds the attempt on that machine
   bool stood_still = false;
-  JobFate fate = JobFate::kUnknown;
+  KnownJobState job_state = KnownJobState::kUnknown;
   Micros now = 0;
   Micros cancellations_bound = 0;  // until then no unknown cancellation can be overrun
 
@@ -94,7 +81,7 @@
 // What such an answer is judged by. The job's own record has just been compared with the state
 // service; the jobs that it depends on are known by the replica alone.
 struct OpenAnswerFacts {
-  JobFate fate = JobFate::kUnknown;
+  KnownJobState job_state = KnownJobState::kUnknown;
   bool has_dependencies = false;
   Micros replica_age = 0;
   Micros most_age = 0;  // at which the replica holds what users were told `cancel_s` ago
--- /dev/null
+++ b/src/core/replica_events.cc
@@ -0,0 +1,170 @@
+// What the core does when the replica changes: it implements ReplicaObserver.
+#include "core/core.h"
+#include "core/io/event.h"
+
+namespace troutlink {
+
+// --- jobs --------------------------------------------------------------------------------
+
+void Core::OnJobOpen(const std::string& id, const JobEntry& entry) {
+  const int shard_id = entry.record.shard_id;
+  auto run = runs_.find(id);
+  if (run != runs_.end() && run->second.shard_id != shard_id) runs_.erase(run);  // it moved
+  if (!LeadsShard(shard_id)) return;
+  LoadRun(shard_id, id, entry);
+  MarkDirty(shard_id);
+}
+
+void Core::OnJobFinished(Micros now, const std::string& id, const JobEntry& entry) {
+  if (entry.record.state == JobState::kCancelled) {
+    cancellations_.AddCommitted(entry.version, id);
+    ++counters_.cancellations;
+    LogCancellation(now, id, "replica");
+  }
+  cancellations_.ForgetReported(id);
+  auto run = runs_.find(id);
+  if (run != runs_.end()) {
+    ShardAt(run->second.shard_id).cycle.progress_dirty = true;
+    runs_.erase(run);
+  }
+  health_.ForgetJob(id);
+  const int shard_id = entry.record.shard_id;
+  if (LeadsShard(shard_id)) {
+    StopJob(now, id);
+    MarkDirty(shard_id);
+  }
+}
+
+void Core::OnJobUnblocked(const std::string& id, const JobEntry& entry) {
+  if (JobRun* run = RunOf(id)) run->last_start = now_;
+  if (LeadsShard(entry.record.shard_id)) MarkDirty(entry.record.shard_id);
+}
+
+void Core::OnUrgencyUpdated(const std::string& /*id*/, const JobEntry& entry) {
+  if (LeadsShard(entry.record.shard_id)) MarkDirty(entry.record.shard_id);
+}
+
+void Core::OnCascadeCancelled(const std::string& id, size_t count) {
+  counters_.cascade_cancelled += count;
+  LogCancellation(now_, id, "dependency");
+  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
+    if (ShardAt(shard_id).leadership.is_leader) MarkDirty(shard_id);
+  }
+}
+
+// --- assignment tables -------------------------------------------------------------------
+
+void Core::OnMachineAssigned(Micros now, int shard_id, const AssignedMachine& machine) {
+  const std::string& name = machine.name;
+  // A machine that was here, went to another shard and came back has seen a higher token
+  // than the one that we knew it by: it was refused until it counted as silent.
+  MachineInfo& info = machines_[name];
+  if (info.last_shard != shard_id) {
+    info.last_shard = shard_id;
+    info.assigned_epoch = 0;
+  }
+  departed_.erase(name);
+  unknown_.erase(name);
+  stray_since_.erase(name);
+  if (ShardAt(shard_id).leadership.is_leader) return;
+  const bool free = machine.attempts.empty() && !machine.leaving && machine.helps.empty();
+  if (free) {
+    free_since_.try_emplace(name, now);
+  } else {
+    free_since_.erase(name);
+  }
+}
+
+void Core::OnMachineUnassigned(Micros now, const std::string& machine) { departed_[machine] = now; }
+
+void Core::OnTableChanged(Micros now, int shard_id) {
+  Shard& shard = ShardAt(shard_id);
+  shard.usage = UsageOf(shard.replica.assignments);
+  if (shard.leadership.is_leader) SyncShard(now, shard_id);
+}
+
+Core::ShardUsage Core::UsageOf(const AssignmentTable& table) const {
+  ShardUsage usage;
+  usage.total = UseOf(table);
+  usage.machines.reserve(table.machines.size());
+  for (const auto& [name, machine] : table.machines) {
+    usage.machines.push_back(CountUse(machine));
+    usage.attempts += machine.attempts.size();
+    usage.any_leaving = usage.any_leaving || machine.leaving;
+  }
+  return usage;
+}
+
+Core::MachineUse Core::CountUse(const AssignedMachine& machine) const {
+  MachineUse use;
+  use.machine = &machine;
+  for (const Attempt& attempt : machine.attempts) {
+    const JobEntry* job = jobs_.Find(attempt.job);
+    if (job == nullptr) continue;
+    const JobSpec& spec = job->record.spec;
+    use.all += spec.each;
+    use.by_priority[static_cast<size_t>(spec.priority)] += spec.each;
+    use.images.insert(spec.image);
+  }
+  return use;
+}
+
+// --- leadership --------------------------------------------------------------------------
+
+void Core::OnLeadershipRecord(Micros now, int shard_id, const Leadership& leadership,
+                              uint64_t revision) {
+  ShardLeadership& known = ShardAt(shard_id).leadership;
+  known.leaderless_since = 0;
+  known.election_conflicts = 0;
+  if (leadership.leader == settings_.label && leadership.boot == boot_) return;
+  known.previous_leader = leadership.leader;
+  if (revision > known.rival_epoch) {
+    known.rival_epoch = revision;
+    known.rival_leader = leadership.leader;
+  }
+  if (known.is_leader && revision > known.epoch) {
+    LoseLeadership(now, shard_id, "another leader was elected");
+  }
+}
+
+void Core::OnLeadershipErased(Micros now, int shard_id, uint64_t revision) {
+  ShardLeadership& known = ShardAt(shard_id).leadership;
+  known.leaderless_since = now;
+  // An ended leadership names nobody.
+  if (known.rival_epoch <= revision) known.rival_leader.clear();
+  if (known.is_leader) LoseLeadership(now, shard_id, "leadership expired");
+}
+
+// --- the rest ----------------------------------------------------------------------------
+
+void Core::OnMachineTypes(const std::string& value) {
+  std::optional<std::vector<MachineType>> types = wire::DecodeMachineTypes(value);
+  types_stored_ = value;
+  if (types && types_.empty()) types_ = std::move(*types);
+}
+
+void Core::OnCaughtUp(Source source, Micros complete_up_to) {
+  ++(source == Source::kList ? counters_.lists : counters_.watches);
+  cancellations_.ReplicaCompleteUpTo(complete_up_to);
+}
+
+void Core::OnStateWriteSent() { ++counters_.puts; }
+
+bool Core::LeadsShard(int shard_id) const {
+  return shard_id >= 0 && shard_id < settings_.shard_count() &&
+         ShardAt(shard_id).leadership.is_leader;
+}
+
+// `source`: how it was learnt.
+void Core::LogCancellation(Micros now, const std::string& id, std::string_view source) {
+  if (!effects_.logs_debug()) return;
+  const ReplicaFeed& feed = sync_.feed();
+  effects_.Log(LogLine::Level::kDebug, Event("cancellation")
+                                           .With("job", id)
+                                           .With("source", source)
+                                           .With("revision", feed.revision())
+                                           .WithSpan("replica_age_ms", now - feed.complete_up_to())
+                                           .text());
+}
+
+}  // namespace troutlink
--- a/src/core/scheduler/commit.cc
+++ b/src/core/scheduler/commit.cc
@@ -92,7 +92,7 @@
   std::set<int> changed = ChangedChunks(shard.replica.assignments, *assignments);
   // The header is in every commit: its version is that of the whole table.
   if (!changed.empty() || shard.replica.chunks.count(0) == 0) changed.insert(0);
-  const int64_t full = Limits().value_bytes * kFullPercent / 100;
+  const int64_t full = cluster_version_.limits().value_bytes * kFullPercent / 100;
   bool split = false;
   std::vector<std::pair<int, std::string>> values;
   for (;;) {
@@ -129,13 +129,13 @@
   JobRecord record = job.record;
   record.state = JobState::kDone;
   // Version 1 neither writes nor needs the time.
-  if (all_nodes_current_) record.finished = WallNow(now);
+  if (cluster_version_.all_current()) record.finished = WallNow(now);
   return record;
 }
 
 void Core::WriteDoneJobs(Micros now, Plan* plan, StateTxn* txn) const {
   for (const std::string& id : plan->done) {
-    const JobEntry* job = FindJob(id);
+    const JobEntry* job = jobs_.Find(id);
     if (job == nullptr || job->record.state != JobState::kOpen) continue;
     WriteJob(id, job->version, DoneRecord(now, *job), txn);
     plan->jobs.erase(id);
@@ -144,10 +144,10 @@
 
 void Core::WriteMovedJobs(Plan* plan, StateTxn* txn) {
   for (const auto& [id, to] : plan->moved) {
-    const JobEntry* job = FindJob(id);
+    const JobEntry* job = jobs_.Find(id);
     if (job == nullptr || job->record.state != JobState::kOpen) continue;
-    const int kept = Limits().txn_ops < kSmallTxnOps ? 1 : kWritesKept;
-    if (static_cast<int>(txn->writes.size()) + kept > Limits().txn_ops) break;
+    const int kept = cluster_version_.limits().txn_ops < kSmallTxnOps ? 1 : kWritesKept;
+    if (static_cast<int>(txn->writes.size()) + kept > cluster_version_.limits().txn_ops) break;
     JobRecord record = job->record;
     record.spec.priority = job->own_priority;
     record.shard_id = to;
@@ -210,7 +210,7 @@
     }
   }
   for (const std::string& id : plan.jobs) {
-    const JobEntry* job = FindJob(id);
+    const JobEntry* job = jobs_.Find(id);
     txn->conditions.push_back({JobKey(id), job == nullptr ? 0 : job->version});
   }
 }
@@ -220,7 +220,7 @@
 void Core::AddTableConditions(int shard_id, StateTxn* txn) const {
   const Shard& shard = ShardAt(shard_id);
   AddHeaderCondition(shard_id, txn);
-  if (all_nodes_current_) return;
+  if (cluster_version_.all_current()) return;
   for (const auto& [index, chunk] : shard.replica.chunks) {
     if (index != 0) txn->conditions.push_back({AssignmentKey(shard_id, index), chunk.version});
   }
@@ -236,11 +236,11 @@
 bool Core::FitsTransaction(const StateTxn& txn, const std::string& body) const {
   const bool values_fit =
       std::all_of(txn.writes.begin(), txn.writes.end(), [this](const StateWrite& write) {
-        return write.erase || StoredSize(write.value) <= Limits().value_bytes;
+        return write.erase || StoredSize(write.value) <= cluster_version_.limits().value_bytes;
       });
   return values_fit && static_cast<int64_t>(body.size()) <= kMaxTxnBytes &&
-         static_cast<int>(txn.writes.size()) <= Limits().txn_ops &&
-         static_cast<int>(txn.conditions.size()) <= Limits().conditions();
+         static_cast<int>(txn.writes.size()) <= cluster_version_.limits().txn_ops &&
+         static_cast<int>(txn.conditions.size()) <= cluster_version_.limits().conditions();
 }
 
 // A round decided more than a transaction holds and nothing of it was sent: the next rounds
@@ -276,18 +276,18 @@
   Shard& shard = ShardAt(shard_id);
   std::optional<wire::TxnReply> reply;
   if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
-  if (reply) state_ok_ = now;
+  if (reply) sync_.RecordAnswer(now);
   const bool current = shard.leadership.is_leader && shard.leadership.epoch == epoch;
   if (current) shard.cycle.committing = false;
   if (status == 200 && reply) {
     for (const StateWrite& write : writes) {
       if (write.erase) {
-        ApplyErase(now, write.key, reply->revision);
+        replica_.ApplyErase(now, write.key, reply->revision);
       } else {
-        ApplyPut(now, write.key, write.value, reply->revision);
+        replica_.ApplyPut(now, write.key, write.value, reply->revision);
       }
     }
-    ReindexShards(now);
+    replica_.FinishBatch(now);
     if (current) OnCommitted(now, shard_id, plan);
     return;
   }
--- a/src/core/scheduler/job_records.cc
+++ b/src/core/scheduler/job_records.cc
@@ -24,8 +24,9 @@
 bool Core::HasRoomForWrite(const StateTxn& txn) const {
   size_t bytes = 0;
   for (const StateWrite& write : txn.writes) bytes += write.value.size();
-  return bytes < kMostValueBytes && static_cast<int>(txn.writes.size()) < Limits().txn_ops &&
-         static_cast<int>(txn.conditions.size()) + 2 < Limits().conditions();
+  return bytes < kMostValueBytes &&
+         static_cast<int>(txn.writes.size()) < cluster_version_.limits().txn_ops &&
+         static_cast<int>(txn.conditions.size()) + 2 < cluster_version_.limits().conditions();
 }
 
 // True: a commit was sent, or waits for its turn to write; no round now.
@@ -33,7 +34,7 @@
   Shard& shard = ShardAt(shard_id);
   if (std::exchange(shard.cycle.records_committed, false)) return false;  // a round has its turn
   StateTxn txn;
-  WriteOrphans(shard_id, &txn);
+  WriteCascadeCancelled(shard_id, &txn);
   bool progress = false;
   if (shard.replica.assignments.form == TableForm::kCompact) {
     WriteDoneRecords(now, shard_id, &txn);
@@ -47,10 +48,10 @@
 
 // Jobs that depend on a cancelled one. None of their tasks ever started, as the cancelled job
 // will never be done.
-void Core::WriteOrphans(int shard_id, StateTxn* txn) const {
-  for (const std::string& id : orphans_) {
+void Core::WriteCascadeCancelled(int shard_id, StateTxn* txn) const {
+  for (const std::string& id : jobs_.cascade_cancelled()) {
     if (!HasRoomForWrite(*txn)) return;
-    const JobEntry* job = FindJob(id);
+    const JobEntry* job = jobs_.Find(id);
     if (job == nullptr || job->record.shard_id != shard_id) continue;
     JobRecord record = job->record;
     record.state = JobState::kCancelled;
@@ -62,8 +63,10 @@
   for (const auto& [id, run] : runs_) {
     if (!HasRoomForWrite(*txn)) return;
     if (run.shard_id != shard_id || run.done < static_cast<int>(run.tasks.size())) continue;
-    const JobEntry* job = FindJob(id);
-    if (job == nullptr || job->record.state != JobState::kOpen || orphans_.count(id) != 0) continue;
+    const JobEntry* job = jobs_.Find(id);
+    if (job == nullptr || job->record.state != JobState::kOpen ||
+        jobs_.cascade_cancelled().count(id) != 0)
+      continue;
     WriteJob(id, job->version, DoneRecord(now, *job), txn);
   }
 }
@@ -72,7 +75,7 @@
 bool Core::WriteProgressPages(Micros now, int shard_id, StateTxn* txn) {
   Shard& shard = ShardAt(shard_id);
   const Progress progress = ProgressOf(shard_id);
-  const int64_t page_bytes = Limits().value_bytes * kPagePercent / 100;
+  const int64_t page_bytes = cluster_version_.limits().value_bytes * kPagePercent / 100;
   const auto page_count = static_cast<size_t>(
       std::clamp(StoredSize(EncodeProgress(progress)) / page_bytes + 1, int64_t{1}, kMostPages));
   std::vector<Progress> pages(page_count);
@@ -81,13 +84,12 @@
   for (size_t page = 0; page < page_count; ++page) {
     std::string value = FittingProgress(std::move(pages[page]));
     const int index = static_cast<int>(page);
-    if (shard.replica.progress_values[index] == value) continue;
+    if (shard.replica.HoldsProgress(index, value)) continue;
     if (!HasRoomForWrite(*txn)) {
       left = true;
       break;
     }
-    txn->conditions.push_back(
-        {ProgressKey(shard_id, index), shard.replica.progress_versions[index]});
+    txn->conditions.push_back({ProgressKey(shard_id, index), shard.replica.ProgressVersion(index)});
     txn->writes.push_back({ProgressKey(shard_id, index), std::move(value), 0, false});
     any = true;
   }
@@ -111,7 +113,8 @@
 // Losing progress only repeats work: what does not fit a value is left out.
 std::string Core::FittingProgress(Progress progress) const {
   std::string value = EncodeProgress(progress);
-  while (StoredSize(value) > Limits().value_bytes * kFullPagePercent / 100 && !progress.empty()) {
+  while (StoredSize(value) > cluster_version_.limits().value_bytes * kFullPagePercent / 100 &&
+         !progress.empty()) {
     progress.erase(progress.begin());
     value = EncodeProgress(progress);
   }
--- a/src/core/scheduler/placing.cc
+++ b/src/core/scheduler/placing.cc
@@ -36,7 +36,7 @@
   }
   headroom.lend = headroom.steady * kLendBelow > steady;
   for (const auto& [id, run] : runs_) {
-    const JobEntry* job = run.shard_id == shard_id ? FindJob(id) : nullptr;
+    const JobEntry* job = run.shard_id == shard_id ? jobs_.Find(id) : nullptr;
     if (job == nullptr || job->record.spec.kind != JobKind::kService) continue;
     largest = std::max(largest, job->record.spec.tasks * job->record.spec.each.cpus);
   }
@@ -53,9 +53,10 @@
 // Conditions of a transaction are limited: the leadership, the chunks of this shard and of
 // one other, and some jobs that are done or move take theirs.
 size_t Core::MaxJobsOfRound(int shard_id) const {
-  const auto conditions = static_cast<size_t>(Limits().conditions());
+  const auto conditions = static_cast<size_t>(cluster_version_.limits().conditions());
   // A table is one condition, and each of the few chunks that change.
-  if (all_nodes_current_) return conditions > kOtherConditions ? conditions - kOtherConditions : 1;
+  if (cluster_version_.all_current())
+    return conditions > kOtherConditions ? conditions - kOtherConditions : 1;
   size_t others = 0;
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     if (other_id == shard_id) continue;
@@ -69,7 +70,7 @@
 // Arrays leave a little of the team's limit to its own services.
 Share Core::KeptForServices(const JobSpec& spec, const Team& team) const {
   Share kept;
-  if (spec.priority == Priority::kProduction || service_teams_.count(spec.team) == 0) return kept;
+  if (spec.priority == Priority::kProduction || !jobs_.HadService(spec.team)) return kept;
   const auto headroom = static_cast<int64_t>(1000 * settings_.op.team_headroom_cpus());
   kept.cpus = std::min<int64_t>(headroom, team.cpus_max / 4) / settings_.shard_count();
   return kept;
@@ -332,7 +333,7 @@
   if (spec.priority == Priority::kProduction && now_ - shard_.cycle.explained_at > kSecond) {
     shard_.cycle.explained_at = now_;
     core_.effects_.Log(LogLine::Level::kDebug,
-              "no room for " + spec.id + " (" + std::to_string(job->left) + " left)");
+                       "no room for " + spec.id + " (" + std::to_string(job->left) + " left)");
   }
   MakeRoom(*job);
 }
--- a/src/core/scheduler/preemption.cc
+++ b/src/core/scheduler/preemption.cc
@@ -29,7 +29,7 @@
   for (const auto& [name, m] : plan->assignments.machines) {
     for (const Attempt& a : m.attempts) {
       auto at = attempts_.find(a);
-      const JobEntry* job = FindJob(a.job);
+      const JobEntry* job = jobs_.Find(a.job);
       if (at == attempts_.end() || job == nullptr || job->record.spec.team != spec.team) continue;
       if (job->record.spec.priority >= spec.priority || at->second.gone) continue;
       if (at->second.stopping) return;  // under way
@@ -42,7 +42,7 @@
     }
   }
   if (best == nullptr) return;
-  const JobEntry* job = FindJob(best->job);
+  const JobEntry* job = jobs_.Find(best->job);
   ++counters_.preempted;
   StopAttempt(now, *best, best_info,
               job->record.spec.checkpoint > 0 ? job->record.spec.save + kSecond : 0);
@@ -54,7 +54,7 @@
   plan->preemptible_known = true;
   std::map<std::string, const PlaceMachine*> places;
   for (const PlaceMachine& machine : plan->machines) places[machine.name] = &machine;
-  for (const MachineUse& use : shard.replica.machine_use) {
+  for (const MachineUse& use : shard.usage.machines) {
     auto place = places.find(use.machine->name);
     if (place == places.end() || !place->second->usable || !place->second->helps.empty()) continue;
     if (place->second->preemptible == Amount()) continue;
@@ -78,7 +78,7 @@
   std::optional<Priority> lowest;
   for (const auto& [id, run] : runs_) {
     if (run.shard_id != shard_id || run.placed == 0) continue;
-    const JobEntry* job = FindJob(id);
+    const JobEntry* job = jobs_.Find(id);
     if (job == nullptr || job->record.spec.kind != JobKind::kArray) continue;
     if (!lowest || job->record.spec.priority < *lowest) lowest = job->record.spec.priority;
   }
--- a/src/core/scheduler/round_window.cc
+++ b/src/core/scheduler/round_window.cc
@@ -15,7 +15,7 @@
 // A transaction holds so many changes and so many bytes. An assignment table of more
 // chunks than that is changed a few chunks at a time, in turn.
 void Core::ChooseWindow(Shard* shard, Plan* plan) const {
-  const int ops = Limits().txn_ops;
+  const int ops = cluster_version_.limits().txn_ops;
   const bool compact = plan->assignments.form == TableForm::kCompact;
   // Small values hold few machines each: a commit changes as many of them as it may, so that the
   // header is a small part of what it writes.
@@ -46,7 +46,7 @@
 // them, the others the chunks that come first, as some work fits on few machines only.
 std::set<int> Core::RoomiestChunks(const Shard& shard, size_t most) const {
   std::map<int, int64_t> room;
-  for (const MachineUse& use : shard.replica.machine_use) {
+  for (const MachineUse& use : shard.usage.machines) {
     const MachineType* type = TypeOf(use.machine->type);
     if (type == nullptr || use.info == nullptr || !Usable(now_, *use.machine, *use.info)) continue;
     int64_t free = type->size.cpus;
--- a/src/core/scheduler/rounds.cc
+++ b/src/core/scheduler/rounds.cc
@@ -55,7 +55,7 @@
   for (auto& [id, run] : runs_) {
     if (run.shard_id == shard_id) ForgetPlaced(&run);
   }
-  for (MachineUse& use : shard.replica.machine_use) {
+  for (MachineUse& use : shard.usage.machines) {
     MachineInfo& info = machines_[use.machine->name];
     use.info = &info;
     if (info.assigned_epoch != shard.leadership.epoch) MachineCame(now, shard, *use.machine, &info);
@@ -65,7 +65,7 @@
     return item.second.shard_id == shard_id && item.second.mark != mark_;
   });
   std::erase_if(returned_,
-                [this](const std::string& name) { return machine_shard_.count(name) == 0; });
+                [this](const std::string& name) { return replica_.ShardOfMachine(name) < 0; });
 }
 
 void Core::ForgetPlaced(JobRun* run) {
@@ -109,7 +109,7 @@
       info.placed_at = now;
     }
     info.mark = mark_;
-    use->slots.push_back({&info, FindJob(attempt.job)});
+    use->slots.push_back({&info, jobs_.Find(attempt.job)});
     if (info.gone) continue;
     JobRun* run = RunOf(attempt.job);
     if (run == nullptr || static_cast<size_t>(attempt.task) >= run->tasks.size()) continue;
@@ -160,8 +160,8 @@
   assignments.shares = shard.replica.assignments.shares;
   assignments.helps = shard.replica.assignments.helps;
   std::erase_if(assignments.helps, [this](const auto& h) { return runs_.count(h.first) == 0; });
-  plan->machines.reserve(shard.replica.machine_use.size() + 16);
-  for (const MachineUse& use : shard.replica.machine_use) {
+  plan->machines.reserve(shard.usage.machines.size() + 16);
+  for (const MachineUse& use : shard.usage.machines) {
     const AssignedMachine& m = *use.machine;
     const bool may =
         !plan->windowed || plan->removals.count(plan->assignments.ChunkOfMachine(m.name)) != 0;
@@ -210,7 +210,7 @@
     const JobEntry* job = nullptr;
     for (const Attempt& a : m.attempts) {
       ++use.jobs[a.job];
-      if (last == nullptr || *last != a.job) job = FindJob(a.job);
+      if (last == nullptr || *last != a.job) job = jobs_.Find(a.job);
       last = &a.job;
       if (job == nullptr) continue;
       Share& team = use.teams[job->record.spec.team];
@@ -225,7 +225,7 @@
   int64_t services = 0;
   for (const auto& [id, run] : runs_) {
     if (run.shard_id != shard_id) continue;
-    const JobEntry* job = FindJob(id);
+    const JobEntry* job = jobs_.Find(id);
     if (job != nullptr && job->record.spec.kind == JobKind::kService) {
       services += job->record.spec.each.cpus * job->record.spec.tasks;
     }
@@ -243,7 +243,7 @@
 bool Core::SpreadServices(int shard_id) const {
   for (const auto& [id, run] : runs_) {
     if (run.shard_id != shard_id) continue;
-    const JobEntry* job = FindJob(id);
+    const JobEntry* job = jobs_.Find(id);
     if (job != nullptr && job->record.spec.kind == JobKind::kService && job->record.spec.spread) {
       return true;
     }
@@ -256,7 +256,7 @@
 // of them decides.
 Micros Core::RoundPace(const Shard& shard) const {
   double items =
-      static_cast<double>(shard.replica.assignments.machines.size() + shard.replica.attempts);
+      static_cast<double>(shard.replica.assignments.machines.size() + shard.usage.attempts);
   return kRoundPace + static_cast<Micros>(items * kItemCost / (kRoundShare * settings_.cores));
 }
 
@@ -290,8 +290,8 @@
   ChooseWindow(&shard, &plan);
   BeginPlan(now, shard_id, &plan);
   std::set<std::string> service_images;
-  for (const std::string& id : open_jobs_) {
-    const JobSpec& spec = jobs_.at(id).record.spec;
+  for (const std::string& id : jobs_.open()) {
+    const JobSpec& spec = jobs_.At(id).record.spec;
     if (spec.kind == JobKind::kService) service_images.insert(spec.image);
   }
   plan.index = PlaceIndex(service_images, &plan.machines);
@@ -318,7 +318,8 @@
 void Core::FindDoneJobs(int shard_id, Plan* plan) const {
   for (const auto& [id, run] : runs_) {
     if (run.shard_id != shard_id || run.done < static_cast<int>(run.tasks.size())) continue;
-    if (static_cast<int>(plan->done.size()) + kWritesBesideDone >= Limits().txn_ops ||
+    if (static_cast<int>(plan->done.size()) + kWritesBesideDone >=
+            cluster_version_.limits().txn_ops ||
         plan->done.size() >= kMaxDone) {
       return;
     }
@@ -346,7 +347,7 @@
                "shard " + std::to_string(shard_id) + ": " +
                    std::to_string(plan.assignments.machines.size()) + " machines, usable " +
                    std::to_string(usable) + ", chunks " + std::to_string(plan.assignments.chunks) +
-                   ", attempts " + std::to_string(shard.replica.attempts) + ", cpus steady " +
+                   ", attempts " + std::to_string(shard.usage.attempts) + ", cpus steady " +
                    std::to_string(free_steady / 1000) + "/" + std::to_string(steady / 1000) +
                    " spot " + std::to_string(free_spot / 1000) + "/" + std::to_string(spot / 1000) +
                    " free, no room for " + std::to_string(waiting) + " array and " +
--- a/src/core/scheduler/table_form.cc
+++ b/src/core/scheduler/table_form.cc
@@ -32,8 +32,9 @@
 }  // namespace
 
 bool Core::NeedsCompactForm(const Shard& shard) const {
-  if (!all_nodes_current_ || shard.replica.assignments.form == TableForm::kCompact) return false;
-  const StateLimits& limits = Limits();
+  if (!cluster_version_.all_current() || shard.replica.assignments.form == TableForm::kCompact)
+    return false;
+  const StateLimits& limits = cluster_version_.limits();
   // Values that shrink may leave chunks that can be divided in no transaction.
   return limits.value_bytes < kCompactBelowBytes || limits.txn_ops < kCompactBelowOps ||
          limits.value_bytes < settings_.state_limits.value_bytes;
@@ -53,11 +54,12 @@
     table.chunks = kFirstChunks;
     return table;
   }
-  const int64_t most = Limits().value_bytes * kFirstFillPercent / 100;
+  const int64_t most = cluster_version_.limits().value_bytes * kFirstFillPercent / 100;
   table.chunks = ChunksForCompactForm(shard.replica.assignments, most);
   table.unmigrated_from = 1;
   // A header that is too large loses the credits of tails, which are then granted anew.
-  if (StoredSize(EncodeChunk(table, 0)) > Limits().value_bytes) table.helps.clear();
+  if (StoredSize(EncodeChunk(table, 0)) > cluster_version_.limits().value_bytes)
+    table.helps.clear();
   return table;
 }
 
@@ -79,7 +81,8 @@
   for (; end < next.chunks; ++end) {
     // One write is for the header.
     if (end > first &&
-        (static_cast<int>(txn.writes.size()) + 1 >= Limits().txn_ops || !HasRoomForWrite(txn))) {
+        (static_cast<int>(txn.writes.size()) + 1 >= cluster_version_.limits().txn_ops ||
+         !HasRoomForWrite(txn))) {
       break;
     }
     txn.writes.push_back(
@@ -108,7 +111,7 @@
   for (const auto& [index, chunk] : shard.replica.chunks) {
     if (index != 0) largest = std::max(largest, chunk.bytes);
   }
-  const int64_t most = Limits().value_bytes * kGrowPercent / 100;
+  const int64_t most = cluster_version_.limits().value_bytes * kGrowPercent / 100;
   if (static_cast<int64_t>(largest) <= most || shard.replica.assignments.chunks >= kMostChunks) {
     return false;
   }
--- a/src/core/scheduler/tail_help.cc
+++ b/src/core/scheduler/tail_help.cc
@@ -11,8 +11,8 @@
 void Core::PlanTailHelp(Micros now, int shard_id, Plan* plan) {
   for (auto& [id, run] : runs_) {
     if (run.shard_id != shard_id) continue;
-    const JobEntry* job = FindJob(id);
-    if (job == nullptr || JobOver(id) || job->record.spec.kind != JobKind::kArray) continue;
+    const JobEntry* job = jobs_.Find(id);
+    if (job == nullptr || jobs_.IsOver(id) || job->record.spec.kind != JobKind::kArray) continue;
     const JobSpec& spec = job->record.spec;
     if (!TailReached(settings_.op.tail_threshold(), run.done, spec.tasks)) continue;
     Tail tail{spec, &run, MedianOf(run.durations), 0, {}, 0};
--- a/src/core/scheduler/transfer.cc
+++ b/src/core/scheduler/transfer.cc
@@ -25,7 +25,7 @@
     if (run == nullptr || run->done > 0 || run->placed > 0 || plan->jobs.count(spec.id) != 0) {
       continue;
     }
-    const JobEntry* job = FindJob(spec.id);
+    const JobEntry* job = jobs_.Find(spec.id);
     if (job == nullptr || job->record.moves >= (spec.kind == JobKind::kService ? 2 : 6)) continue;
     Micros patience = spec.priority == Priority::kProduction ? 60 * kMilli : 1500 * kMilli;
     if (run->unplaced_since == 0 || now - run->unplaced_since < patience) continue;
@@ -159,9 +159,9 @@
     const AssignmentTable& theirs =
         plan->others.count(other_id) != 0 ? plan->others.at(other_id) : other.replica.assignments;
     Share share = ShareOf(theirs, team, other_id, settings_.shard_count());
-    auto theirs_used = other.replica.use.teams.find(team.name);
+    auto theirs_used = other.usage.total.teams.find(team.name);
     Share move =
-        Movable(share, theirs_used == other.replica.use.teams.end() ? Share() : theirs_used->second,
+        Movable(share, theirs_used == other.usage.total.teams.end() ? Share() : theirs_used->second,
                 missing);
     if (move.cpus <= 0 && move.gpus <= 0) continue;
     AssignmentTable& changed =
--- a/src/core/scheduler/waiting.cc
+++ b/src/core/scheduler/waiting.cc
@@ -48,7 +48,7 @@
   std::map<std::string, Share> everywhere = plan.use.teams;  // over all shards
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     if (other_id == shard_id) continue;
-    for (const auto& [team, use] : shards_[static_cast<size_t>(other_id)].replica.use.teams) {
+    for (const auto& [team, use] : shards_[static_cast<size_t>(other_id)].usage.total.teams) {
       everywhere[team].cpus += use.cpus;
       everywhere[team].gpus += use.gpus;
     }
@@ -63,8 +63,8 @@
   double array_cpus = 0;
   for (auto& [id, run] : runs_) {
     if (run.shard_id != shard_id) continue;
-    const JobEntry* job = FindJob(id);
-    if (job == nullptr || FateOf(id) != JobFate::kOpen) continue;
+    const JobEntry* job = jobs_.Find(id);
+    if (job == nullptr || jobs_.StateOf(id) != KnownJobState::kOpen) continue;
     const JobSpec& spec = job->record.spec;
     int left = static_cast<int>(run.tasks.size()) - run.done - run.placed;
     if (spec.kind != JobKind::kService) {
@@ -122,7 +122,7 @@
     capacities[team.name] = static_cast<double>(share.cpus) / 1000;
   }
   for (const auto& [id, run] : runs_) {
-    const JobEntry* job = run.shard_id == shard_id && run.placed > 0 ? FindJob(id) : nullptr;
+    const JobEntry* job = run.shard_id == shard_id && run.placed > 0 ? jobs_.Find(id) : nullptr;
     if (job == nullptr || job->record.spec.kind != JobKind::kService) continue;
     auto capacity = capacities.find(job->record.spec.team);
     if (capacity == capacities.end()) continue;
--- a/src/core/store/dependencies.h
+++ b/src/core/store/dependencies.h
@@ -26,7 +26,7 @@
 // job that depends on it, directly or through others: it inherits their priority, and a latest
 // start that leaves the stages between the time that they are estimated to take.
 //
-// Bounded by the dependencies of open jobs. Pure: `Core` adds jobs as the replica learns of them
+// Bounded by the dependencies of open jobs. Pure: JobTable adds jobs as the replica learns of them
 // and removes them once they are over.
 class DependencyGraph {
  public:
--- a/src/core/store/replica.cc
+++ b/src/core/store/replica.cc
@@ -1,291 +1,122 @@
-// The replica: a copy of the state service's content, fed by one list and then
-// one watch, and by our own commits.
-#include <algorithm>
+// The replica: which part of it a record belongs to, and what is logged of records.
+#include "core/store/replica.h"
 
-#include "core/core.h"
-#include "core/io/event.h"
+#include <algorithm>
 
 namespace troutlink {
 
 namespace {
-constexpr Micros kWatchHold = 2 * kSecond;
-constexpr Micros kListTimeout = 2 * kSecond;
-constexpr double kWatchReserve = 20;  // requests
-constexpr int kListLimit = 500;
 const std::string kTypesKey = std::string(kRoot) + "types";
 }  // namespace
 
-void Core::StartList(Micros now) {
-  feed_.ListStarted(now);
-  list_items_.clear();
-  ReadListPage("");
-}
-
-void Core::ReadListPage(const std::string& after) {
-  effects_.Send(Dest::kState, "", "GET", wire::ListTarget(kRoot, after, kListLimit), "",
-                kListTimeout, [this](Micros answered, int status, const std::string& body) {
-                  OnListPage(answered, status, body);
-                });
-}
-
-void Core::OnListPage(Micros now, int status, const std::string& body) {
-  std::optional<wire::StatePage> page;
-  if (status == 200) page = wire::DecodeList(body);
-  if (!page) {
-    feed_.ListFailed(now);
-    return;
-  }
-  state_ok_ = now;
-  feed_.ListPageRead(page->revision);
-  for (StateItem& item : page->items) {
-    list_items_[item.key] = {std::move(item.value), item.version};
-  }
-  if (page->more && !page->items.empty()) {
-    ReadListPage(page->items.back().key);
-  } else {
-    FinishList(now);
-  }
-}
-
-void Core::FinishList(Micros now) {
-  EraseUnlisted(now);
-  for (const auto& [key, item] : list_items_) ApplyPut(now, key, item.value, item.version);
-  list_items_.clear();
-  ReindexShards(now);
-  feed_.ListFinished(now);
-  ++counters_.lists;
-  effects_.Log(LogLine::Level::kInfo, Event("replica_listed")
-                                          .With("revision", feed_.revision())
-                                          .WithSpan("age_ms", now - feed_.complete_up_to())
-                                          .With("open_jobs", open_jobs_.size())
-                                          .With("jobs", jobs_.size())
-                                          .text());
-  cancellations_.ReplicaCompleteUpTo(feed_.complete_up_to());
-  StartWatch(now);
-}
-
-void Core::EraseUnlisted(Micros now) {
-  std::vector<std::string> gone;
-  auto check = [&](const std::string& key, uint64_t version) {
-    if (version <= feed_.list_revision() && list_items_.count(key) == 0) gone.push_back(key);
-  };
-  for (const auto& [id, entry] : jobs_) check(JobKey(id), entry.version);
-  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
-    const uint64_t version = ShardAt(shard_id).replica.leadership_version;
-    if (version != 0) check(LeadershipKey(shard_id), version);
-  }
-  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
-    for (const auto& [index, chunk] : ShardAt(shard_id).replica.original_chunks) {
-      check(AssignmentKey(shard_id, index), chunk.version);
-    }
-  }
-  for (const std::string& key : gone) ApplyErase(now, key, feed_.list_revision());
-}
-
-void Core::StartWatch(Micros now) {
-  feed_.WatchStarted();
-  effects_.Send(Dest::kWatch, "", "GET", wire::WatchTarget(kRoot, feed_.revision(), kWatchHold), "",
-                kWatchHold + 1500 * kMilli,
-                [this, sent = now](Micros answered, int status, const std::string& body) {
-                  OnWatchAnswered(answered, sent, status, body);
-                });
-}
-
-void Core::OnWatchAnswered(Micros now, Micros sent, int status, const std::string& body) {
-  if (status == 410) {
-    effects_.Log(LogLine::Level::kInfo,
-                 Event("watch_too_old").With("revision", feed_.revision()).text());
-    feed_.WatchTooOld(now);
-    return;
-  }
-  std::optional<wire::WatchReply> reply;
-  if (status == 200) reply = wire::DecodeWatch(body);
-  if (!reply) {
-    feed_.WatchFailed(now);
-    return;
-  }
-  state_ok_ = now;
-  for (const StateEvent& event : reply->events) {
-    if (event.erase) {
-      ApplyErase(now, event.key, event.version);
-    } else {
-      ApplyPut(now, event.key, event.value, event.version);
-    }
-  }
-  ReindexShards(now);
-  feed_.WatchAnswered(now, sent, reply->revision);
-  ++counters_.watches;
-  cancellations_.ReplicaCompleteUpTo(feed_.complete_up_to());
-  // Each change ends a watch, and each node has one: when requests are short, a
-  // watch waits a little and its answer takes more changes.
-  if (feed_.list_requested()) {
-    StartList(now);
-  } else if (state_budget_.Has(now, kWatchReserve)) {
-    StartWatch(now);
-  } else {
-    feed_.PauseWatch(now);
+Replica::Replica(int shard_count, JobTable* jobs, ClusterVersion* cluster_version, Effects* effects,
+                 ReplicaObserver* observer)
+    : jobs_(jobs), cluster_version_(cluster_version), effects_(effects), observer_(observer) {
+  for (int shard_id = 0; shard_id < shard_count; ++shard_id) {
+    tables_.emplace_back(shard_id, &directory_, observer);
   }
 }
 
-void Core::DropFinishedSpec(JobEntry* entry) {
-  // Final states are kept for ever; what the job was is of no more use.
-  JobSpec small;
-  small.id = entry->record.spec.id;
-  small.tasks = entry->record.spec.tasks;
-  small.kind = entry->record.spec.kind;
-  // Its tasks may still be on machines: they count for room and limits.
-  small.team = entry->record.spec.team;
-  small.each = entry->record.spec.each;
-  small.save = entry->record.spec.save;
-  small.checkpoint = entry->record.spec.checkpoint;
-  entry->record.spec = std::move(small);
-}
-
-void Core::ApplyPut(Micros now, const std::string& name, const std::string& value,
-                    uint64_t version) {
-  const Key key = ParseKey(name);
-  const bool known_shard = key.shard_id < settings_.shard_count();
-  switch (key.kind) {
-    case Key::Kind::kJob: ApplyJob(now, key.id, value, version); return;
+void Replica::ApplyPut(Micros now, const std::string& key, const std::string& value,
+                       uint64_t version) {
+  const Key parsed = ParseKey(key);
+  switch (parsed.kind) {
+    case Key::Kind::kJob: ApplyJob(now, parsed.id, value, version); return;
     case Key::Kind::kLeadership:
-      if (known_shard) ApplyLeadership(now, key.shard_id, value, version);
-      return;
     case Key::Kind::kAssignments:
-      if (known_shard) ApplyChunk(now, key, value, version);
-      return;
     case Key::Kind::kProgress:
-      if (known_shard) ApplyProgress(key.shard_id, key.chunk, value, version);
+      if (HasShard(parsed.shard_id)) ApplyOfShard(now, parsed, value, version);
       return;
-    case Key::Kind::kNodeVersion: ApplyNodeVersion(key.id, value, version); return;
+    case Key::Kind::kNodeVersion: ApplyNodeVersion(parsed.id, value, version); return;
     case Key::Kind::kOther:
-      if (name == kTypesKey) ApplyTypes(value);
+      if (key == kTypesKey) observer_->OnMachineTypes(value);
       return;
   }
 }
 
-void Core::ApplyJob(Micros now, const std::string& id, const std::string& value, uint64_t version) {
-  auto known = jobs_.find(id);
-  if (known != jobs_.end() && known->second.version >= version) return;
-  std::optional<JobRecord> record = DecodeJob(value);
-  if (!record) {
-    effects_.Log(LogLine::Level::kError, "unreadable job record " + JobKey(id));
-    return;
-  }
-  JobEntry& entry = jobs_[id];
-  entry.record = std::move(*record);
-  entry.version = version;
-  entry.own_priority = entry.record.spec.priority;
-  const JobSpec& spec = entry.record.spec;
-  if (spec.kind == JobKind::kService) {
-    service_teams_.insert(spec.team);
-    if (service_images_.size() < 1000) service_images_.insert(spec.image);
-    spread_seen_ = spread_seen_ || spec.spread;
-  }
-  if (entry.record.state == JobState::kOpen) {
-    NoteOpenJob(id);
-    ApplyOpenJob(id, entry);
-  } else {
-    NoteFinishedJob(id);
-    ApplyFinishedJob(now, id, &entry);
+void Replica::ApplyJob(Micros now, const std::string& id, const std::string& value,
+                       uint64_t version) {
+  switch (jobs_->Apply(now, id, value, version)) {
+    case RecordOutcome::kIgnored: return;
+    case RecordOutcome::kUnreadable:
+      effects_->Log(LogLine::Level::kError, "unreadable job record " + JobKey(id));
+      return;
+    case RecordOutcome::kApplied: break;
   }
+  const JobRecord& record = jobs_->At(id).record;
+  if (record.state == JobState::kOpen) return;
+  if (record.shard_id >= 0 && HasShard(record.shard_id))
+    TableOf(record.shard_id).ForgetProgress(id);
 }
 
-bool Core::LeadsShard(int shard_id) const {
-  return shard_id >= 0 && shard_id < settings_.shard_count() &&
-         ShardAt(shard_id).leadership.is_leader;
-}
-
-void Core::ApplyOpenJob(const std::string& id, const JobEntry& entry) {
-  open_jobs_.insert(id);
-  const int shard_id = entry.record.shard_id;
-  auto run = runs_.find(id);
-  if (run != runs_.end() && run->second.shard_id != shard_id) runs_.erase(run);  // it moved
-  if (!LeadsShard(shard_id)) return;
-  LoadRun(shard_id, id, entry);
-  MarkDirty(shard_id);
+void Replica::ApplyOfShard(Micros now, const Key& key, const std::string& value, uint64_t version) {
+  TableReplica& table = TableOf(key.shard_id);
+  if (key.kind == Key::Kind::kLeadership) {
+    if (table.ApplyLeadership(value, version) == RecordOutcome::kApplied) {
+      observer_->OnLeadershipRecord(now, key.shard_id, table.records().leadership_record, version);
+    }
+  } else if (key.kind == Key::Kind::kAssignments) {
+    if (table.ApplyChunk(now, key, value, version) == RecordOutcome::kUnreadable) {
+      effects_->Log(LogLine::Level::kError,
+                    "unreadable assignment table of shard " + std::to_string(key.shard_id));
+    }
+  } else {
+    table.ApplyProgress(key.chunk, value, version, jobs_->open());
+  }
 }
 
-void Core::ApplyFinishedJob(Micros now, const std::string& id, JobEntry* entry) {
-  open_jobs_.erase(id);
-  if (entry->record.state == JobState::kCancelled) {
-    cancellations_.AddCommitted(entry->version, id);
-    ++counters_.cancellations;
-    LogCancellation(now, id, "replica");
-  }
-  cancellations_.ForgetReported(id);
-  auto run = runs_.find(id);
-  if (run != runs_.end()) {
-    ShardAt(run->second.shard_id).cycle.progress_dirty = true;
-    runs_.erase(run);
-  }
-  health_.ForgetJob(id);
-  const int shard_id = entry->record.shard_id;
-  if (shard_id >= 0 && shard_id < settings_.shard_count())
-    ShardAt(shard_id).replica.progress.erase(id);
-  if (LeadsShard(shard_id)) {
-    StopJob(now, id);
-    MarkDirty(shard_id);
-  }
-  DropFinishedSpec(entry);
+void Replica::ApplyNodeVersion(const std::string& label, const std::string& value,
+                               uint64_t version) {
+  if (!cluster_version_->Apply(label, value, version)) return;
+  const StateLimits& limits = cluster_version_->limits();
+  effects_->Log(LogLine::Level::kInfo,
+                "cluster version " + std::to_string(kStoredFormVersion) +
+                    "; limits of the state service: " + std::to_string(limits.value_bytes) +
+                    " bytes, " + std::to_string(limits.txn_ops) + " changes a transaction, " +
+                    std::to_string(static_cast<int>(limits.write_rps)) + " changes a second");
 }
 
-void Core::ApplyLeadership(Micros now, int shard_id, const std::string& value, uint64_t version) {
-  Shard& shard = ShardAt(shard_id);
-  if (shard.replica.leadership_version >= version) return;
-  std::optional<Leadership> leadership = DecodeLeadership(value);
-  if (!leadership) return;
-  shard.replica.leadership_version = version;
-  shard.replica.leadership_record = *leadership;
-  shard.leadership.leaderless_since = 0;
-  shard.leadership.election_conflicts = 0;
-  if (leadership->leader == settings_.label && leadership->boot == boot_) return;
-  shard.leadership.previous_leader = leadership->leader;
-  if (version > shard.leadership.rival_epoch) {
-    shard.leadership.rival_epoch = version;
-    shard.leadership.rival_leader = leadership->leader;
-  }
-  if (shard.leadership.is_leader && version > shard.leadership.epoch) {
-    LoseLeadership(now, shard_id, "another leader was elected");
+void Replica::ApplyErase(Micros now, const std::string& key, uint64_t version) {
+  const Key parsed = ParseKey(key);
+  if (parsed.kind == Key::Kind::kLeadership && HasShard(parsed.shard_id)) {
+    if (TableOf(parsed.shard_id).EraseLeadership(version)) {
+      observer_->OnLeadershipErased(now, parsed.shard_id, version);
+    }
+  } else if (parsed.kind == Key::Kind::kAssignments && parsed.form == TableForm::kOriginal &&
+             HasShard(parsed.shard_id)) {
+    // Chunks are erased only once the compact form has all of their machines.
+    TableOf(parsed.shard_id).EraseOriginalChunk(parsed.chunk);
+  } else if (parsed.kind == Key::Kind::kJob) {
+    // Job records are never deleted by the service.
+    effects_->Log(LogLine::Level::kError, "job record deleted: " + key);
   }
 }
 
-// What was done once stays done: pages of any age add up, however they divide the jobs.
-void Core::ApplyProgress(int shard_id, int page, const std::string& value, uint64_t version) {
-  Shard& shard = ShardAt(shard_id);
-  uint64_t& known = shard.replica.progress_versions[page];
-  if (known >= version) return;
-  std::optional<Progress> progress = DecodeProgress(value);
-  if (!progress) return;
-  known = version;
-  shard.replica.progress_values[page] = value;
-  for (auto& [id, tasks] : *progress) {
-    if (open_jobs_.count(id) != 0) shard.replica.progress[id].merge(tasks);
+void Replica::FinishBatch(Micros now) {
+  for (int shard_id = 0; HasShard(shard_id); ++shard_id) {
+    if (TableOf(shard_id).TakeChanged()) observer_->OnTableChanged(now, shard_id);
   }
 }
 
-void Core::ApplyTypes(const std::string& value) {
-  std::optional<std::vector<MachineType>> types = wire::DecodeMachineTypes(value);
-  types_stored_ = value;
-  if (types && types_.empty()) types_ = std::move(*types);
+bool Replica::HasLeadershipOfOtherProcess(const std::string& label, uint64_t boot) const {
+  return std::any_of(tables_.begin(), tables_.end(), [&](const TableReplica& table) {
+    const ShardRecords& records = table.records();
+    return records.leadership_version != 0 && records.leadership_record.leader == label &&
+           records.leadership_record.boot != boot;
+  });
 }
 
-void Core::ApplyErase(Micros now, const std::string& name, uint64_t version) {
-  const Key key = ParseKey(name);
-  if (key.kind == Key::Kind::kLeadership && key.shard_id < settings_.shard_count()) {
-    Shard& shard = ShardAt(key.shard_id);
-    if (shard.replica.leadership_version > version) return;
-    shard.replica.leadership_version = 0;
-    shard.leadership.leaderless_since = now;
-    // An ended leadership names nobody.
-    if (shard.leadership.rival_epoch <= version) shard.leadership.rival_leader.clear();
-    if (shard.leadership.is_leader) LoseLeadership(now, key.shard_id, "leadership expired");
-  } else if (key.kind == Key::Kind::kAssignments && key.form == TableForm::kOriginal &&
-             key.shard_id < settings_.shard_count()) {
-    // Chunks are erased only once the compact form has all of their machines.
-    ShardAt(key.shard_id).replica.original_chunks.erase(key.chunk);
-  } else if (key.kind == Key::Kind::kJob) {
-    // Job records are never deleted by the service.
-    effects_.Log(LogLine::Level::kError, "job record deleted: " + name);
+void Replica::VisitListed(
+    const std::function<void(const std::string& key, uint64_t version)>& visit) const {
+  for (const auto& [id, entry] : jobs_->jobs()) visit(JobKey(id), entry.version);
+  for (int shard_id = 0; HasShard(shard_id); ++shard_id) {
+    const uint64_t version = records(shard_id).leadership_version;
+    if (version != 0) visit(LeadershipKey(shard_id), version);
+  }
+  for (int shard_id = 0; HasShard(shard_id); ++shard_id) {
+    for (const auto& [index, chunk] : records(shard_id).original_chunks) {
+      visit(AssignmentKey(shard_id, index), chunk.version);
+    }
   }
 }
 
--- a/src/core/store/replica_feed.h
+++ b/src/core/store/replica_feed.h
@@ -10,7 +10,7 @@
 namespace troutlink {
 
 // The replica is fed by one list of everything, page by page, and then by one watch after the
-// other. `Core` makes the calls, applies what they bring and tells this class; the class
+// other. ReplicaSync makes the calls, applies what they bring and tells this class; the class
 // decides when to list, when to watch and when to wait, and holds what is known then:
 // every change up to `revision()`, and every change made before `complete_up_to()`.
 class ReplicaFeed {
--- /dev/null
+++ b/src/core/store/replica_sync.cc
@@ -0,0 +1,158 @@
+// Lists and watches of the state service, and the node's own version.
+#include "core/store/replica_sync.h"
+
+#include <optional>
+#include <utility>
+#include <vector>
+
+#include "core/io/event.h"
+#include "core/store/records.h"
+
+namespace troutlink {
+
+namespace {
+constexpr Micros kWatchHold = 2 * kSecond;
+constexpr Micros kWatchSlack = 1500 * kMilli;  // for the way there and back
+constexpr Micros kListTimeout = 2 * kSecond;
+constexpr Micros kPublishTimeout = 1500 * kMilli;
+constexpr double kWatchReserve = 20;  // requests
+constexpr int kListLimit = 500;       // records a page
+}  // namespace
+
+void ReplicaSync::Run(Micros now) {
+  switch (feed_.Due(now)) {
+    case ReplicaFeed::Step::kList: StartList(now); break;
+    case ReplicaFeed::Step::kWatch: StartWatch(now); break;
+    case ReplicaFeed::Step::kWait: break;
+  }
+}
+
+void ReplicaSync::StartList(Micros now) {
+  feed_.ListStarted(now);
+  list_items_.clear();
+  ReadListPage("");
+}
+
+void ReplicaSync::ReadListPage(const std::string& after) {
+  parts_.effects->Send(Dest::kState, "", "GET", wire::ListTarget(kRoot, after, kListLimit), "",
+                       kListTimeout, [this](Micros answered, int status, const std::string& body) {
+                         OnListPage(answered, DecodeListAnswer(status, body));
+                       });
+}
+
+void ReplicaSync::OnListPage(Micros now, std::optional<wire::StatePage> page) {
+  if (!page) {
+    feed_.ListFailed(now);
+    return;
+  }
+  RecordAnswer(now);
+  feed_.ListPageRead(page->revision);
+  for (StateItem& item : page->items) {
+    list_items_[item.key] = {std::move(item.value), item.version};
+  }
+  if (page->more && !page->items.empty()) {
+    ReadListPage(page->items.back().key);
+  } else {
+    FinishList(now);
+  }
+}
+
+void ReplicaSync::FinishList(Micros now) {
+  EraseUnlisted(now);
+  for (const auto& [key, item] : list_items_) {
+    parts_.replica->ApplyPut(now, key, item.value, item.version);
+  }
+  list_items_.clear();
+  parts_.replica->FinishBatch(now);
+  feed_.ListFinished(now);
+  parts_.effects->Log(LogLine::Level::kInfo, Event("replica_listed")
+                                                 .With("revision", feed_.revision())
+                                                 .WithSpan("age_ms", now - feed_.complete_up_to())
+                                                 .With("open_jobs", parts_.jobs->open().size())
+                                                 .With("jobs", parts_.jobs->jobs().size())
+                                                 .text());
+  parts_.observer->OnCaughtUp(ReplicaObserver::Source::kList, feed_.complete_up_to());
+  StartWatch(now);
+}
+
+void ReplicaSync::EraseUnlisted(Micros now) {
+  std::vector<std::string> gone;
+  parts_.replica->VisitListed([&](const std::string& key, uint64_t version) {
+    if (version <= feed_.list_revision() && list_items_.count(key) == 0) gone.push_back(key);
+  });
+  for (const std::string& key : gone) parts_.replica->ApplyErase(now, key, feed_.list_revision());
+}
+
+void ReplicaSync::StartWatch(Micros now) {
+  feed_.WatchStarted();
+  parts_.effects->Send(Dest::kWatch, "", "GET",
+                       wire::WatchTarget(kRoot, feed_.revision(), kWatchHold), "",
+                       kWatchHold + kWatchSlack,
+                       [this, sent = now](Micros answered, int status, const std::string& body) {
+                         OnWatchAnswered(answered, sent, DecodeWatchAnswer(status, body));
+                       });
+}
+
+void ReplicaSync::OnWatchAnswered(Micros now, Micros sent, const WatchAnswer& answer) {
+  switch (answer.outcome) {
+    case WatchOutcome::kTooOld:
+      parts_.effects->Log(LogLine::Level::kInfo,
+                          Event("watch_too_old").With("revision", feed_.revision()).text());
+      feed_.WatchTooOld(now);
+      return;
+    case WatchOutcome::kFailed: feed_.WatchFailed(now); return;
+    case WatchOutcome::kChanges: break;
+  }
+  RecordAnswer(now);
+  ApplyEvents(now, answer.changes.events);
+  feed_.WatchAnswered(now, sent, answer.changes.revision);
+  parts_.observer->OnCaughtUp(ReplicaObserver::Source::kWatch, feed_.complete_up_to());
+  // Each change ends a watch, and each node has one: when requests are short, a
+  // watch waits a little and its answer takes more changes.
+  if (feed_.list_requested()) {
+    StartList(now);
+  } else if (parts_.state_requests->Has(now, kWatchReserve)) {
+    StartWatch(now);
+  } else {
+    feed_.PauseWatch(now);
+  }
+}
+
+void ReplicaSync::ApplyEvents(Micros now, const std::vector<StateEvent>& events) {
+  for (const StateEvent& event : events) {
+    if (event.erase) {
+      parts_.replica->ApplyErase(now, event.key, event.version);
+    } else {
+      parts_.replica->ApplyPut(now, event.key, event.value, event.version);
+    }
+  }
+  parts_.replica->FinishBatch(now);
+}
+
+void ReplicaSync::PublishVersion(Micros now) {
+  if (!feed_.synced() || !Fresh(now) || !parts_.cluster_version->PublishDue(now)) return;
+  // A process of this node before this one may have had version 1, whose commits may still be
+  // carried out late under its leadership record: they do not write a table's header, which
+  // commits of version 2 rely on.
+  if (parts_.replica->HasLeadershipOfOtherProcess(settings_.label, boot_)) return;
+  const StateTxn txn = parts_.cluster_version->BeginPublish();
+  parts_.state_writes->Force(now, 1);
+  parts_.observer->OnStateWriteSent();
+  parts_.effects->Send(
+      Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kPublishTimeout,
+      [this, write = txn.writes[0]](Micros answered, int status, const std::string& body) {
+        OnVersionPublished(answered, write, status, body);
+      });
+}
+
+void ReplicaSync::OnVersionPublished(Micros now, const StateWrite& write, int status,
+                                     const std::string& body) {
+  parts_.cluster_version->PublishAnswered(now);
+  std::optional<wire::TxnReply> reply;
+  if (status == 200) reply = wire::DecodeTxnReply(body);
+  if (!reply) return;
+  RecordAnswer(now);
+  parts_.replica->ApplyPut(now, write.key, write.value, reply->revision);
+}
+
+}  // namespace troutlink
--- /dev/null
+++ b/src/core/store/state_answers.cc
@@ -0,0 +1,26 @@
+// Answers of the state service to lists and watches.
+#include "core/store/state_answers.h"
+
+#include <utility>
+
+namespace troutlink {
+
+namespace {
+constexpr int kOk = 200;
+constexpr int kGone = 410;  // the revision that the watch began at is compacted
+}  // namespace
+
+WatchAnswer DecodeWatchAnswer(int status, const std::string& body) {
+  if (status == kGone) return {WatchOutcome::kTooOld, {}};
+  if (status != kOk) return {};
+  std::optional<wire::WatchReply> reply = wire::DecodeWatch(body);
+  if (!reply) return {};
+  return {WatchOutcome::kChanges, std::move(*reply)};
+}
+
+std::optional<wire::StatePage> DecodeListAnswer(int status, const std::string& body) {
+  if (status != kOk) return std::nullopt;
+  return wire::DecodeList(body);
+}
+
+}  // namespace troutlink
--- a/src/core/store/table_replica.cc
+++ b/src/core/store/table_replica.cc
@@ -1,8 +1,9 @@
-// The replica of the assignment tables: their chunks as the state service holds them, in either
-// form, and what is counted once for each change.
-#include <utility>
+// The replica of one shard: chunks of its assignment table in either form, its leadership record
+// and its progress.
+#include "core/store/table_replica.h"
 
-#include "core/core.h"
+#include <optional>
+#include <utility>
 
 namespace troutlink {
 
@@ -11,181 +12,139 @@
 constexpr int kOriginalChunk = -1;
 }  // namespace
 
+RecordOutcome TableReplica::ApplyLeadership(const std::string& value, uint64_t version) {
+  if (records_.leadership_version >= version) return RecordOutcome::kIgnored;
+  std::optional<Leadership> leadership = DecodeLeadership(value);
+  if (!leadership) return RecordOutcome::kUnreadable;
+  records_.leadership_version = version;
+  records_.leadership_record = std::move(*leadership);
+  return RecordOutcome::kApplied;
+}
+
+bool TableReplica::EraseLeadership(uint64_t version) {
+  if (records_.leadership_version > version) return false;
+  records_.leadership_version = 0;
+  return true;
+}
+
 // Only the machines of this chunk are replaced. When the number of chunks
 // grows, the divided one and the new one arrive together, in either order.
-void Core::ApplyChunk(Micros now, const Key& key, const std::string& value, uint64_t version) {
-  Shard& shard = ShardAt(key.shard_id);
+RecordOutcome TableReplica::ApplyChunk(Micros now, const Key& key, const std::string& value,
+                                       uint64_t version) {
   if (key.form == TableForm::kCompact) {
-    BeginCompactForm(&shard);
-  } else if (shard.replica.assignments.form == TableForm::kCompact) {
-    ApplyOriginalChunk(now, key, value, version);
-    return;
+    BeginCompactForm();
+  } else if (records_.assignments.form == TableForm::kCompact) {
+    return ApplyOriginalChunk(now, key.chunk, value, version);
   }
-  Chunk& chunk = shard.replica.chunks[key.chunk];
-  if (chunk.version >= version) return;
+  StoredChunk& chunk = records_.chunks[key.chunk];
+  if (chunk.version >= version) return RecordOutcome::kIgnored;
   chunk.version = version;
   chunk.bytes = value.size();
   AssignmentTable next;
   next.form = key.form;
-  if (!DecodeChunk(value, key.chunk, &next)) {
-    effects_.Log(LogLine::Level::kError,
-                 "unreadable assignment table of shard " + std::to_string(key.shard_id));
-    return;
-  }
+  if (!DecodeChunk(value, key.chunk, &next)) return RecordOutcome::kUnreadable;
   for (const std::string& name : chunk.names) {
-    auto chunk_of = shard.replica.chunk_of.find(name);
-    if (chunk_of != shard.replica.chunk_of.end() && chunk_of->second == key.chunk &&
-        next.machines.count(name) == 0) {
-      RemoveMachine(now, key.shard_id, name);
-    }
+    if (next.machines.count(name) == 0) RemoveMachineOfChunk(now, name, key.chunk);
   }
   chunk.names.clear();
   for (auto& [name, machine] : next.machines) {
     chunk.names.push_back(name);
-    shard.replica.chunk_of[name] = key.chunk;
-    PutMachine(now, key.shard_id, std::move(machine));
+    PutMachine(now, key.chunk, std::move(machine));
   }
-  if (key.chunk == 0) ApplyHeader(now, key.shard_id, std::move(next));
-  shard.replica.changed_at = now;
-  shard.replica.sync_due = true;
+  if (key.chunk == 0) ApplyHeader(now, std::move(next));
+  records_.changed_at = now;
+  changed_ = true;
+  return RecordOutcome::kApplied;
 }
 
-void Core::ApplyHeader(Micros now, int shard_id, AssignmentTable header) {
-  AssignmentTable& table = ShardAt(shard_id).replica.assignments;
+void TableReplica::ApplyHeader(Micros now, AssignmentTable header) {
+  AssignmentTable& table = records_.assignments;
   table.chunks = header.chunks;
   table.unmigrated_from = header.unmigrated_from;
   table.next_number = header.next_number;
   table.rentals = std::move(header.rentals);
   table.shares = std::move(header.shares);
   table.helps = std::move(header.helps);
-  DropMigratedMachines(now, shard_id);
+  DropMigratedMachines(now);
 }
 
-void Core::BeginCompactForm(Shard* shard) {
-  if (shard->replica.assignments.form == TableForm::kCompact) return;
-  shard->replica.assignments.form = TableForm::kCompact;
-  shard->replica.original_chunks = std::exchange(shard->replica.chunks, {});
-  shard->replica.original_machines = shard->replica.assignments.machines;
-  for (auto& [name, chunk] : shard->replica.chunk_of) chunk = kOriginalChunk;
+void TableReplica::BeginCompactForm() {
+  if (records_.assignments.form == TableForm::kCompact) return;
+  records_.assignments.form = TableForm::kCompact;
+  records_.original_chunks = std::exchange(records_.chunks, {});
+  original_machines_ = records_.assignments.machines;
+  for (auto& [name, chunk] : chunk_of_) chunk = kOriginalChunk;
 }
 
 // A list that is read page by page may show a chunk as it was before the compact form began.
-void Core::ApplyOriginalChunk(Micros now, const Key& key, const std::string& value,
-                              uint64_t version) {
-  Shard& shard = ShardAt(key.shard_id);
-  Chunk& chunk = shard.replica.original_chunks[key.chunk];
-  if (chunk.version >= version) return;
+RecordOutcome TableReplica::ApplyOriginalChunk(Micros now, int index, const std::string& value,
+                                               uint64_t version) {
+  StoredChunk& chunk = records_.original_chunks[index];
+  if (chunk.version >= version) return RecordOutcome::kIgnored;
   chunk.version = version;
   AssignmentTable next;
-  if (!DecodeChunk(value, key.chunk, &next)) return;
+  // The compact form is what counts by now: an unreadable chunk of the other one is no error.
+  if (!DecodeChunk(value, index, &next)) return RecordOutcome::kIgnored;
   for (const std::string& name : chunk.names) {
     if (next.machines.count(name) != 0) continue;
-    shard.replica.original_machines.erase(name);
-    auto chunk_of = shard.replica.chunk_of.find(name);
-    if (chunk_of != shard.replica.chunk_of.end() && chunk_of->second == kOriginalChunk) {
-      RemoveMachine(now, key.shard_id, name);
-    }
+    original_machines_.erase(name);
+    RemoveMachineOfChunk(now, name, kOriginalChunk);
   }
   chunk.names.clear();
-  const AssignmentTable& table = shard.replica.assignments;
+  const AssignmentTable& table = records_.assignments;
   for (auto& [name, machine] : next.machines) {
     chunk.names.push_back(name);
     if (!table.Migrating() || table.ChunkOfMachine(name) < table.unmigrated_from) continue;
-    shard.replica.original_machines[name] = machine;
-    shard.replica.chunk_of[name] = kOriginalChunk;
-    PutMachine(now, key.shard_id, std::move(machine));
+    original_machines_[name] = machine;
+    PutMachine(now, kOriginalChunk, std::move(machine));
   }
-  shard.replica.sync_due = true;
+  changed_ = true;
+  return RecordOutcome::kApplied;
 }
 
-void Core::DropMigratedMachines(Micros now, int shard_id) {
-  Shard& shard = ShardAt(shard_id);
-  const AssignmentTable& table = shard.replica.assignments;
-  for (auto it = shard.replica.original_machines.begin();
-       it != shard.replica.original_machines.end();) {
+void TableReplica::DropMigratedMachines(Micros now) {
+  const AssignmentTable& table = records_.assignments;
+  for (auto it = original_machines_.begin(); it != original_machines_.end();) {
     const std::string name = it->first;
     if (table.Migrating() && table.ChunkOfMachine(name) >= table.unmigrated_from) {
       ++it;
       continue;
     }
-    it = shard.replica.original_machines.erase(it);
-    auto chunk_of = shard.replica.chunk_of.find(name);
-    if (chunk_of != shard.replica.chunk_of.end() && chunk_of->second == kOriginalChunk) {
-      RemoveMachine(now, shard_id, name);
-    }
+    it = original_machines_.erase(it);
+    RemoveMachineOfChunk(now, name, kOriginalChunk);
   }
 }
 
-void Core::RemoveMachine(Micros now, int shard_id, const std::string& name) {
-  Shard& shard = ShardAt(shard_id);
-  shard.replica.chunk_of.erase(name);
-  shard.replica.assignments.machines.erase(name);
-  auto holder = machine_shard_.find(name);
-  if (holder == machine_shard_.end() || holder->second != shard_id) return;
-  machine_shard_.erase(holder);
-  departed_[name] = now;
+void TableReplica::RemoveMachineOfChunk(Micros now, const std::string& name, int chunk) {
+  auto known = chunk_of_.find(name);
+  if (known == chunk_of_.end() || known->second != chunk) return;
+  chunk_of_.erase(known);
+  records_.assignments.machines.erase(name);
+  if (directory_->Remove(name, shard_id_)) observer_->OnMachineUnassigned(now, name);
 }
 
-void Core::PutMachine(Micros now, int shard_id, AssignedMachine machine) {
-  Shard& shard = ShardAt(shard_id);
+void TableReplica::PutMachine(Micros now, int chunk, AssignedMachine machine) {
   const std::string name = machine.name;
-  machine_shard_[name] = shard_id;
-  // A machine that was here, went to another shard and came back has seen a higher token
-  // than the one that we knew it by: it was refused until it counted as silent.
-  MachineInfo& info = machines_[name];
-  if (info.last_shard != shard_id) {
-    info.last_shard = shard_id;
-    info.assigned_epoch = 0;
-  }
-  departed_.erase(name);
-  unknown_.erase(name);
-  stray_since_.erase(name);
-  if (!shard.leadership.is_leader) {
-    const bool free = machine.attempts.empty() && !machine.leaving && machine.helps.empty();
-    if (free) {
-      free_since_.try_emplace(name, now);
-    } else {
-      free_since_.erase(name);
-    }
-  }
-  shard.replica.assignments.machines[name] = std::move(machine);
+  chunk_of_[name] = chunk;
+  directory_->Put(name, shard_id_);
+  observer_->OnMachineAssigned(now, shard_id_, machine);
+  records_.assignments.machines[name] = std::move(machine);
 }
 
-void Core::ReindexShards(Micros now) {
-  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
-    Shard& shard = ShardAt(shard_id);
-    if (!shard.replica.sync_due) continue;
-    shard.replica.sync_due = false;
-    shard.replica.use = UseOf(shard.replica.assignments);
-    shard.replica.machine_use.clear();
-    shard.replica.attempts = 0;
-    shard.replica.any_leaving = false;
-    for (const auto& [name, machine] : shard.replica.assignments.machines) {
-      shard.replica.machine_use.push_back(CountUse(machine));
-      shard.replica.attempts += machine.attempts.size();
-      shard.replica.any_leaving = shard.replica.any_leaving || machine.leaving;
-    }
-    if (shard.leadership.is_leader) SyncShard(now, shard_id);
+// What was done once stays done: pages of any age add up, however they divide the jobs.
+RecordOutcome TableReplica::ApplyProgress(int page, const std::string& value, uint64_t version,
+                                          const std::set<std::string>& open_jobs) {
+  if (records_.ProgressVersion(page) >= version) return RecordOutcome::kIgnored;
+  std::optional<Progress> progress = DecodeProgress(value);
+  if (!progress) return RecordOutcome::kUnreadable;
+  records_.progress_versions[page] = version;
+  records_.progress_values[page] = value;
+  for (auto& [id, tasks] : *progress) {
+    if (open_jobs.count(id) != 0) records_.progress[id].merge(tasks);
   }
+  return RecordOutcome::kApplied;
 }
 
-Core::MachineUse Core::CountUse(const AssignedMachine& machine) const {
-  MachineUse use;
-  use.machine = &machine;
-  for (const Attempt& attempt : machine.attempts) {
-    const JobEntry* job = FindJob(attempt.job);
-    if (job == nullptr) continue;
-    const JobSpec& spec = job->record.spec;
-    use.all += spec.each;
-    use.by_priority[static_cast<size_t>(spec.priority)] += spec.each;
-    use.images.insert(spec.image);
-  }
-  return use;
-}
-
-int Core::ShardOfMachine(const std::string& name) const {
-  auto it = machine_shard_.find(name);
-  return it == machine_shard_.end() ? -1 : it->second;
-}
+bool TableReplica::TakeChanged() { return std::exchange(changed_, false); }
 
 }  // namespace troutlink
--- a/tests/permits_units_test.cc
+++ b/tests/permits_units_test.cc
@@ -12,7 +12,7 @@
   StartFacts facts;
   facts.is_leader = true;
   facts.assigned = true;
-  facts.fate = JobFate::kOpen;
+  facts.job_state = KnownJobState::kOpen;
   facts.now = kNow;
   facts.cancellations_bound = kNow + 1;
   return facts;
@@ -32,10 +32,14 @@
   EXPECT_TRUE(Startable().Judge());
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->is_leader = false; }), Refusal::kNotLeader);
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->assigned = false; }), Refusal::kNotAssigned);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kUnknown; }), Refusal::kJobUnknown);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kBlocked; }), Refusal::kJobBlocked);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kCancelled; }), Refusal::kJobOver);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kDone; }), Refusal::kJobOver);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->job_state = KnownJobState::kUnknown; }),
+            Refusal::kJobUnknown);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->job_state = KnownJobState::kBlocked; }),
+            Refusal::kJobBlocked);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->job_state = KnownJobState::kCancelled; }),
+            Refusal::kJobOver);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->job_state = KnownJobState::kDone; }),
+            Refusal::kJobOver);
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->stood_still = true; }), Refusal::kStoodStill);
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->cancellations_bound = kNow; }),
             Refusal::kCancellationsStale);
@@ -62,13 +66,13 @@
 
 TEST(Permits, AnOpenJobIsToldBySomeoneWhoKnowsItsDependencies) {
   constexpr Micros kMost = 20 * kSecond;
-  EXPECT_TRUE((OpenAnswerFacts{JobFate::kOpen, false, 90 * kSecond, kMost}.Judge()));
-  EXPECT_TRUE((OpenAnswerFacts{JobFate::kBlocked, true, kMost - 1, kMost}.Judge()));
-  EXPECT_EQ((OpenAnswerFacts{JobFate::kBlocked, true, kMost, kMost}.Judge().error().code),
+  EXPECT_TRUE((OpenAnswerFacts{KnownJobState::kOpen, false, 90 * kSecond, kMost}.Judge()));
+  EXPECT_TRUE((OpenAnswerFacts{KnownJobState::kBlocked, true, kMost - 1, kMost}.Judge()));
+  EXPECT_EQ((OpenAnswerFacts{KnownJobState::kBlocked, true, kMost, kMost}.Judge().error().code),
             Refusal::kReplicaStale);
-  EXPECT_EQ((OpenAnswerFacts{JobFate::kCancelled, true, 0, kMost}.Judge().error().code),
+  EXPECT_EQ((OpenAnswerFacts{KnownJobState::kCancelled, true, 0, kMost}.Judge().error().code),
             Refusal::kJobOver);
-  EXPECT_EQ((OpenAnswerFacts{JobFate::kUnknown, false, 0, kMost}.Judge().error().code),
+  EXPECT_EQ((OpenAnswerFacts{KnownJobState::kUnknown, false, 0, kMost}.Judge().error().code),
             Refusal::kJobUnknown);
 }
 
