--- /dev/null
+++ b/src/core/agents/peer_reports.cc
@@ -0,0 +1,94 @@
+// Machines and jobs in heartbeats: what peers are told of the machines of this node's shards, and
+// what they report of theirs.
+#include <algorithm>
+
+#include "core/core.h"
+
+namespace troutlink {
+
+std::vector<mesh::SilentMachine> Core::SilentMachines(Micros now, size_t limit) const {
+  std::vector<mesh::SilentMachine> silent_machines;
+  for (const Shard& shard : shards_) {
+    if (!shard.leadership.is_leader) continue;
+    for (const auto& [name, machine] : shard.replica.assignments.machines) {
+      if (silent_machines.size() >= limit) return silent_machines;
+      auto info = machines_.find(name);
+      if (info == machines_.end() || info->second.first_heard == 0) continue;
+      const Micros silent = SilentFor(now, info->second);
+      if (silent > settings_.report * 3 / 2) {
+        silent_machines.push_back({name, static_cast<uint64_t>(silent)});
+      }
+    }
+  }
+  return silent_machines;
+}
+
+CachedImagesPage Core::CachedImagesFrom(const MachineCursor& from, size_t limit) const {
+  CachedImagesPage page;
+  for (size_t shard_id = from.shard_id; shard_id < shards_.size(); ++shard_id) {
+    const auto& machines = shards_[shard_id].replica.assignments.machines;
+    auto it = shard_id == from.shard_id ? machines.lower_bound(from.machine) : machines.begin();
+    for (; it != machines.end() && shards_[shard_id].leadership.is_leader; ++it) {
+      if (page.images.size() >= limit) {
+        page.next = {shard_id, it->first};
+        return page;
+      }
+      if (it->second.spot) continue;
+      mesh::CachedImages cached{it->first, CachedServiceImages(it->first)};
+      if (!cached.images.empty()) page.images.push_back(std::move(cached));
+    }
+  }
+  return page;
+}
+
+std::vector<std::string> Core::CachedServiceImages(const std::string& machine) const {
+  std::vector<std::string> images;
+  auto info = machines_.find(machine);
+  if (info == machines_.end()) return images;
+  for (const auto& [image, used] : info->second.images) {
+    if (service_images_.count(image) != 0) images.push_back(image);
+  }
+  return images;
+}
+
+// Our replica may lag, or we may be cut off from the state service: the tasks must end
+// all the same.
+void Core::OnCancellationReported(Micros now, const std::string& id) {
+  const JobEntry* job = FindJob(id);
+  if (job != nullptr && job->record.state != JobState::kOpen) return;
+  if (!cancellations_.AddReported(id)) return;
+  ++counters_.reported_cancellations;
+  LogCancellation(now, id, "peer");
+  StopJob(now, id);
+  // A leader whose replica lags stores that what depends on it is cancelled too.
+  for (const std::string& dependent : dependencies_.DependentsOf(id)) AddOrphan(dependent);
+  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
+    if (ShardAt(shard_id).leadership.is_leader) MarkDirty(shard_id);
+  }
+}
+
+bool Core::LedByAnother(const std::string& machine) const {
+  const int shard_id = ShardOfMachine(machine);
+  return shard_id >= 0 && !ShardAt(shard_id).leadership.is_leader;
+}
+
+// Kept with the machine: who takes it over knows what it has.
+void Core::OnCachedImagesReported(Micros now, const mesh::CachedImages& cached) {
+  if (!LedByAnother(cached.machine)) return;
+  MachineInfo& info = machines_[cached.machine];
+  info.images.clear();
+  for (const std::string& image : cached.images) info.images[image] = now;
+}
+
+bool Core::OnMachineSilent(Micros now, const std::string& machine, Micros silent) {
+  if (!LedByAnother(machine)) return false;
+  machines_[machine].reported_silent_since = now - silent;
+  return true;
+}
+
+void Core::OnMachineHeardAgain(const std::string& machine) {
+  auto info = machines_.find(machine);
+  if (info != machines_.end()) info->second.reported_silent_since = 0;
+}
+
+}  // namespace troutlink
--- a/src/core/agents/reports.cc
+++ b/src/core/agents/reports.cc
@@ -40,8 +40,7 @@
     return;
   }
   const Shard& shard = ShardAt(shard_id);
-  const bool superseded = shard.leadership.rival_epoch > shard.leadership.epoch;
-  if (shard.leadership.epoch != 0 && !superseded) {
+  if (shard.leadership.epoch != 0 && !shard.leadership.Superseded()) {
     AnswerAsLeader(now, source, shard_id, *report);
     return;
   }
@@ -74,7 +73,7 @@
 
 void Core::PassOnReport(Micros now, const ReportSource& source, int shard_id, const Report& report,
                         const std::string& body) {
-  std::string leader = LeaderLabel(shard_id);
+  std::string leader = election_.LeaderOf(shard_id);
   if (leader == settings_.label) leader.clear();
   if (!source.peer.empty() || leader.empty()) {
     ++counters_.redirects;
@@ -100,8 +99,8 @@
   const bool came_back = info->redirected_to == leader &&
                          now - info->redirected_at < kRedirectMemory &&
                          now - info->redirected_at > kSecond;
-  auto peer = peers_.find(leader);
-  const bool reachable = peer != peers_.end() && now - peer->second.heard < 2 * kSecond;
+  const Peer* peer = peers_.Find(leader);
+  const bool reachable = peer != nullptr && now - peer->last_heard < 2 * kSecond;
   // Nor does one that its leader itself misses: on its way round all nodes its lease ended.
   const bool missed = info->reported_silent_since != 0;
   if ((came_back || missed) && reachable) info->relay_until = now + kRelayFor;
@@ -128,20 +127,20 @@
 
 bool Core::MayRenewOnBehalf(Micros now, int shard_id, const Report& report) const {
   const Shard& shard = ShardAt(shard_id);
-  if (StateFresh(now)) return false;
+  if (node_health_.StateFresh(now)) return false;
   const uint64_t epoch = std::max(shard.replica.leadership_version, shard.leadership.rival_epoch);
   if (epoch == 0 || report.token < TokenForEpoch(epoch)) return false;
-  const std::string leader = LeaderLabel(shard_id);
+  const std::string leader = election_.LeaderOf(shard_id);
   if (leader.empty() || leader == settings_.label) return false;
-  auto peer = peers_.find(leader);
-  if (peer == peers_.end()) return false;
+  const Peer* peer = peers_.Find(leader);
+  if (peer == nullptr) return false;
   // A leader that lives and knows that it is one answers for itself.
-  const bool gone = now - peer->second.heard > 1500 * kMilli ||
-                    peer->second.holds.count(static_cast<uint64_t>(shard_id)) == 0;
+  const bool gone = now - peer->last_heard > 1500 * kMilli ||
+                    peer->led_shards.count(static_cast<uint64_t>(shard_id)) == 0;
   if (!gone) return false;
   // Nor may a peer that reaches the state service be about to take over.
-  for (const auto& [label, other] : peers_) {
-    if (now - other.heard < 1500 * kMilli && other.state_age < kSecond) return false;
+  for (const auto& [label, other] : peers_.peers()) {
+    if (now - other.last_heard < 1500 * kMilli && other.state_age < kSecond) return false;
   }
   return true;
 }
--- a/src/core/agents/silence.cc
+++ b/src/core/agents/silence.cc
@@ -19,12 +19,12 @@
   std::map<std::string, std::pair<int, int>> machines;  // by zone: all, silent
   std::set<std::string> out;
   for (const Sibling& sibling : settings_.siblings) {
-    const Peer& peer = peers_.at(sibling.label);
-    if (sibling.zone == settings_.zone || now - peer.heard < 3 * settings_.report) continue;
+    const Peer& peer = peers_.At(sibling.label);
+    if (sibling.zone == settings_.zone || now - peer.last_heard < 3 * settings_.report) continue;
     out.insert(sibling.zone);
   }
   for (const Sibling& sibling : settings_.siblings) {
-    if (now - peers_.at(sibling.label).heard < 3 * settings_.report) out.erase(sibling.zone);
+    if (now - peers_.At(sibling.label).last_heard < 3 * settings_.report) out.erase(sibling.zone);
   }
   if (out.empty()) return out;
   for (const Shard& shard : shards_) {
@@ -75,17 +75,17 @@
     if (SilentFor(now, info) > 3 * settings_.report) ++silent;
   }
   some_silent_ = some_silent_ || silent > 0;
-  shard.leadership.silent = silent;
+  shard.silence.silent = silent;
   // When most fall silent at once, it is rather we who cannot hear, all the more when
   // none is heard.
   const bool hears_few = total >= 3 && silent * 10 > total * 6;
-  if (hears_few) shard.leadership.heard_few_at = now;
+  if (hears_few) shard.silence.most_silent_at = now;
   SilenceOfShard silence;
   silence.hears_nobody = hears_few && silent * 20 > total * 19;
   // When the first machines are heard again, the others are on their way: a leader that had
   // lost all its workers for 11 s gave up those that were not among the first 40% to be back.
-  silence.heard_few_lately =
-      shard.leadership.heard_few_at != 0 && now - shard.leadership.heard_few_at < settings_.lease;
+  silence.most_silent_lately =
+      shard.silence.most_silent_at != 0 && now - shard.silence.most_silent_at < settings_.lease;
   silence.zones_cut_off = ZonesCutOff(now);
   return silence;
 }
@@ -102,7 +102,7 @@
 // missed for a third of that time (see docs/rounds.md).
 Micros Core::Patience(const AssignedMachine& machine, const SilenceOfShard& silence) const {
   if (silence.hears_nobody) return kDeafCancels * settings_.cancel;
-  if (silence.heard_few_lately || silence.zones_cut_off.count(machine.zone) != 0) {
+  if (silence.most_silent_lately || silence.zones_cut_off.count(machine.zone) != 0) {
     return Longest(settings_.cancel) + kCancelSlack;
   }
   return settings_.lease - std::min(settings_.lease / 20, kReturnTakes);
@@ -111,7 +111,7 @@
 bool Core::IsLost(Micros now, const AssignedMachine& machine, const MachineInfo& info,
                   const SilenceOfShard& silence) const {
   // Without the state service no machine is given up: it may be we who are cut off.
-  if (!StateFresh(now)) return false;
+  if (!node_health_.StateFresh(now)) return false;
   const Micros silent = SilentFor(now, info);
   if (info.failed) return true;
   if (info.missing && silent > 3 * settings_.report / 2) return true;
--- /dev/null
+++ b/src/core/agents/takeover.cc
@@ -0,0 +1,105 @@
+// What a new leader assumes of its shard: everything decided under an earlier leadership is
+// forgotten, and the machines are taken over with the silence that the previous leader reported.
+#include <algorithm>
+
+#include "core/core.h"
+#include "core/io/event.h"
+
+namespace troutlink {
+
+namespace {
+constexpr Micros kHeardSlack = 3 * kSecond;
+}  // namespace
+
+void Core::OnElected(Micros now, int shard_id) {
+  Shard& shard = ShardAt(shard_id);
+  const uint64_t epoch = shard.leadership.epoch;
+  ++counters_.elections;
+  shard.silence.most_silent_at = 0;
+  shard.cycle.committing = false;
+  shard.cycle.progress_at = now + FromSeconds(settings_.op.progress_period_s());
+  effects_.Log(LogLine::Level::kInfo,
+               Event("leadership_gained")
+                   .With("shard", shard_id)
+                   .With("epoch", epoch)
+                   .With("token", TokenForEpoch(epoch))
+                   .With("replica_revision", feed_.revision())
+                   .WithSpan("replica_age_ms", now - feed_.complete_up_to())
+                   .With("machines", shard.replica.assignments.machines.size())
+                   .text());
+  ForgetDecisions(shard_id);
+  InheritMachines(now, shard_id);
+  for (const auto& [id, rental] : shard.replica.assignments.rentals) rental_states_.erase(id);
+  for (const std::string& id : open_jobs_) {
+    const JobEntry& entry = jobs_.at(id);
+    if (entry.record.shard_id == shard_id) LoadRun(shard_id, id, entry);
+  }
+  SyncShard(now, shard_id);
+  MarkDirty(shard_id);
+}
+
+void Core::OnEpochFell(int shard_id, uint64_t epoch, uint64_t revision) {
+  ++counters_.elections;
+  NoteViolation(Violation::kEpochFell, Event("election")
+                                           .With("shard", shard_id)
+                                           .With("epoch", epoch)
+                                           .With("revision", revision)
+                                           .text());
+}
+
+void Core::OnLeadershipLost(Micros /*now*/, int shard_id, LossReason reason) {
+  ShardAt(shard_id).cycle.committing = false;
+  ++counters_.lost_leaderships;
+  if (reason == LossReason::kFailback) ++counters_.failbacks;
+}
+
+// Whatever we knew of its attempts may be of an earlier leadership.
+void Core::ForgetDecisions(int shard_id) {
+  std::erase_if(attempts_, [&](const auto& item) { return item.second.shard_id == shard_id; });
+  std::erase_if(runs_, [&](const auto& item) { return item.second.shard_id == shard_id; });
+}
+
+void Core::InheritMachines(Micros now, int shard_id) {
+  Shard& shard = ShardAt(shard_id);
+  // What the previous leader told of silent machines counts if it told it just now. Else
+  // each machine has the time for two reports first: it may be well and heard elsewhere.
+  Micros last_alive = now, earliest = now - settings_.lease + 2 * settings_.report + kHeardSlack;
+  if (const Peer* peer = peers_.Find(shard.leadership.previous_leader);
+      peer != nullptr && peer->last_heard != 0) {
+    last_alive = peer->last_heard;
+    if (now - last_alive < 2 * session_lease_.life() + kHeardSlack) earliest = 0;
+  }
+  earliest = std::min(earliest, now);
+  for (const auto& [name, machine] : shard.replica.assignments.machines) {
+    MachineInfo& info = machines_[name];
+    InheritMachine(shard.leadership.epoch, machine, &info);
+    // Its silence began when the previous leader missed it, or with that leader's end,
+    // and not with the election: a shard that changed hands twice while many machines were
+    // cut off once waited two leases for them.
+    const bool was_missed = info.reported_silent_since > info.heard;
+    info.since = std::max(was_missed ? info.reported_silent_since : last_alive, earliest);
+    if (info.first_heard == 0 && (was_missed || !machine.addr.empty())) {
+      info.first_heard = info.since;
+    }
+    free_since_.erase(name);
+  }
+}
+
+void Core::InheritMachine(uint64_t epoch, const AssignedMachine& machine, MachineInfo* info) {
+  // Commands of the previous leader may still run until the worker has seen
+  // our token; until then its reports prove no absence.
+  info->required_token = std::max(info->required_token, TokenForEpoch(epoch));
+  info->assigned_epoch = epoch;
+  // Nor does anything count that we concluded as an earlier leader: a node that came
+  // back from a cut once gave all its machines back for that.
+  info->give_up = info->drain = false;
+  info->ignored_answers = info->lease_losses = 0;
+  info->avoid_until = 0;
+  info->returning = false;
+  info->direct_busy = false;
+  info->idle_since = 0;
+  if (!machine.addr.empty()) info->addr = machine.addr;
+  info->probe = true;
+}
+
+}  // namespace troutlink
--- a/src/core/api/forwarding.cc
+++ b/src/core/api/forwarding.cc
@@ -16,7 +16,8 @@
   OpenRequest& open = open_[request.id];
   open.request = request;
   open.since = now;
-  if (!StateFresh(now) || !feed_.synced() || types_.empty()) ForwardRequest(now, &open);
+  if (!node_health_.StateFresh(now) || !feed_.synced() || types_.empty())
+    ForwardRequest(now, &open);
   Route(now, request);
 }
 
@@ -43,8 +44,9 @@
 
 std::string Core::FreshPeer(Micros now) const {
   const Peer* best = nullptr;
-  for (const auto& [label, peer] : peers_) {
-    if (peer.heard == 0 || now - peer.heard > kSecond || peer.state_age > kSecond) continue;
+  for (const auto& [label, peer] : peers_.peers()) {
+    if (peer.last_heard == 0 || now - peer.last_heard > kSecond || peer.state_age > kSecond)
+      continue;
     if (best == nullptr || peer.state_age < best->state_age) best = &peer;
   }
   return best == nullptr ? "" : best->label;
@@ -129,7 +131,7 @@
     // tells us as one of its cancels.
     std::optional<JobStatus> status;
     if (answer.status == 200) status = wire::DecodeJobStatus(answer.body);
-    if (status && status->state == JobPhase::kCancelled) LearnCancellation(now, status->id);
+    if (status && status->state == JobPhase::kCancelled) OnCancellationReported(now, status->id);
     Answer(request, static_cast<int>(answer.status), answer.body);
   } else if (open->second.refused) {
     const Reply refusal = open->second.refusal;
--- a/src/core/api/queries.cc
+++ b/src/core/api/queries.cc
@@ -78,7 +78,7 @@
     }
     return;
   }
-  state_ok_ = now;
+  node_health_.NoteStateAnswer(now);
   std::set<std::string> stale;
   for (const std::string& key : reply->failed) stale.insert(ParseKey(key).id);
   for (const std::string& id : stale) FetchJob(now, id);
@@ -107,7 +107,7 @@
         std::optional<wire::StatePage> page;
         if (status == 200) page = wire::DecodeList(body);
         if (page) {
-          state_ok_ = answered;
+          node_health_.NoteStateAnswer(answered);
           for (const StateItem& item : page->items) {
             ApplyPut(answered, item.key, item.value, item.version);
           }
@@ -203,7 +203,7 @@
     Answer(query.request, 200, wire::EncodeJobState(query.id, PhaseOf(entry->record.state)));
     return;
   }
-  if (++query.tries > kMaxCancelTries || !StateFresh(now)) {
+  if (++query.tries > kMaxCancelTries || !node_health_.StateFresh(now)) {
     Answer(query.request, 503, wire::EncodeError("not stored"), kRetryAfter);
     return;
   }
@@ -225,10 +225,10 @@
                              const std::string& body) {
   std::optional<wire::TxnReply> reply;
   if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
-  if (reply) state_ok_ = now;
+  if (reply) node_health_.NoteStateAnswer(now);
   if (status == 200 && reply) {
     // Peers must be able to hear of it before the user does.
-    next_heartbeat_ = now;
+    heartbeats_.SendSoon(now);
     ApplyPut(now, write.key, write.value, reply->revision);
     Answer(query.request, 200, wire::EncodeJobState(query.id, JobPhase::kCancelled));
   } else if (status == 409) {
--- a/src/core/api/shard_choice.cc
+++ b/src/core/api/shard_choice.cc
@@ -25,8 +25,8 @@
 }
 
 const Core::Waits& Core::WaitingCpus() {
-  if (now_ - waits_at_ < kWaitsAge && !waits_.empty()) return waits_;
-  waits_at_ = now_;
+  if (node_health_.last_tick() - waits_at_ < kWaitsAge && !waits_.empty()) return waits_;
+  waits_at_ = node_health_.last_tick();
   waits_.assign(shards_.size(), {});
   for (const std::string& id : open_jobs_) {
     const JobRecord& record = jobs_.at(id).record;
@@ -62,9 +62,9 @@
           static_cast<int>(std::clamp(room.now_free / static_cast<double>(spec.each.cpus), 0.0,
                                       static_cast<double>(room.placeable)));
     }
-    auto peer = peers_.find(shard.replica.leadership_record.leader);
+    const Peer* peer = peers_.Find(shard.replica.leadership_record.leader);
     room.owned = shard.replica.leadership_version != 0 &&
-                 (peer == peers_.end() || now_ - peer->second.heard < kLeaderAlive);
+                 (peer == nullptr || node_health_.last_tick() - peer->last_heard < kLeaderAlive);
   }
   return rooms;
 }
--- a/src/core/api/submissions.cc
+++ b/src/core/api/submissions.cc
@@ -46,7 +46,7 @@
     Answer(request.id, 422, wire::EncodeError(why));
     return;
   }
-  if (!feed_.synced() || types_.empty() || !StateFresh(now)) {
+  if (!feed_.synced() || types_.empty() || !node_health_.StateFresh(now)) {
     ++counters_.refused;
     Answer(request.id, 503, wire::EncodeError("not ready"), kRetryAfter);
     return;
@@ -160,7 +160,7 @@
                                                                const std::string& body) {
                   std::optional<wire::TxnReply> reply;
                   if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
-                  if (reply) state_ok_ = answered;
+                  if (reply) node_health_.NoteStateAnswer(answered);
                   if (status == 200 && reply) {
                     ApplyPut(answered, write.key, write.value, reply->revision);
                     ++counters_.accepted;
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "base/ids.h"
+#include "core/leadership/readiness.h"
 
 namespace troutlink {
 
@@ -13,6 +14,10 @@
 constexpr double kShareOfLimits = 0.9;
 constexpr double kWriteBurst = 0.5;  // seconds
 
+// A late answer to the process before this one must not be taken for an answer to us: numbers
+// begin where no earlier process is likely to have been.
+uint64_t NumberBase(uint64_t boot) { return (boot & 0xffffffffu) << 24; }
+
 bool IsAbort(const Request& request) {
   std::optional<wire::JobPath> path = wire::ParseJobPath(request.target);
   return path && path->abort;
@@ -31,19 +36,24 @@
       boot_(boot),
       started_(now),
       wall_offset_(wall - now),
-      shards_(static_cast<size_t>(settings.shard_count())),
-      session_lease_(FromSeconds(settings.op.claim_life_s())),
+      node_health_(now),
       cancellations_(settings.cancel, settings.lease),
+      election_({settings.label, settings.labels, settings.own_shard, boot, now, settings.cancel,
+                 FromSeconds(settings.op.hand_back_after_s())},
+                {&effects_, &write_budget_, &session_lease_, &node_health_, this, this}),
+      session_lease_(FromSeconds(settings.op.claim_life_s()), &effects_, &node_health_, &election_),
+      heartbeats_(NumberBase(boot),
+                  {&effects_, &peers_, &election_, &cancellations_, &node_health_, this, this}),
       health_(static_cast<int>(settings.op.machine_failures()),
               static_cast<int>(settings.op.job_failures())) {
-  // A late answer to the process before this one must not be taken for an
-  // answer to us: numbers begin where no earlier process is likely to have been.
-  const uint64_t base = (boot_ & 0xffffffffu) << 24;
-  next_foreign_ = (uint64_t{1} << 62) | base;
-  next_relay_ = base;
-  ping_seq_ = base;
+  next_foreign_ = (uint64_t{1} << 62) | NumberBase(boot_);
+  next_relay_ = NumberBase(boot_);
+  shards_.reserve(static_cast<size_t>(settings_.shard_count()));
+  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
+    shards_.emplace_back(election_.Of(shard_id));
+  }
   for (const Sibling& sibling : settings_.siblings) {
-    peers_[sibling.label].label = sibling.label;
+    peers_.Add(sibling.label);
     cancellations_.AddPeer(sibling.label);
   }
 }
@@ -108,7 +118,7 @@
     if (only("POST")) OnReport(now, {request.id, "", 0}, request.body);
   } else if (target == wire::kUpPath) {
     if (only("GET")) {
-      if (Up(now)) {
+      if (IsReady(now, feed_.synced(), node_health_, peers_)) {
         Answer(request.id, 200, "");
       } else {
         Answer(request.id, 503, wire::EncodeError("not ready"), 1);
@@ -140,12 +150,11 @@
 }
 
 Outbox Core::HandlePeer(Micros now, const std::string& from, const mesh::Message& message) {
-  if (peers_.count(from) == 0) return effects_.TakeOutbox();
+  if (peers_.Find(from) == nullptr) return effects_.TakeOutbox();
   if (const auto* ping = std::get_if<mesh::Ping>(&message)) {
-    HandlePing(now, from, *ping);
+    heartbeats_.OnPing(now, from, *ping);
   } else if (const auto* pong = std::get_if<mesh::Pong>(&message)) {
-    HandleHeartbeat(now, from, *pong);
-    cancellations_.PongReceived(from, *pong);
+    heartbeats_.OnPong(now, from, *pong);
   } else if (const auto* relay = std::get_if<mesh::Relay>(&message)) {
     OnReport(now, {0, from, relay->id}, relay->body);
   } else if (const auto* relay_reply = std::get_if<mesh::RelayReply>(&message)) {
@@ -162,10 +171,8 @@
 // The limits of the state service and the cloud are shared by shards: who works for a
 // node that is away also has its share.
 void Core::ShareLimits(Micros now) {
-  const auto owned = std::count_if(shards_.begin(), shards_.end(),
-                                   [](const Shard& shard) { return shard.leadership.is_leader; });
-  const double share = kShareOfLimits * static_cast<double>(std::max<std::ptrdiff_t>(1, owned)) /
-                       settings_.shard_count();
+  const int owned = std::max(1, election_.LedShards());
+  const double share = kShareOfLimits * static_cast<double>(owned) / settings_.shard_count();
   write_budget_.SetRate(now, Limits().write_rps * share);
   state_budget_.SetRate(now, settings_.state_rps * share);
   cloud_budget_.SetRate(now, settings_.cloud_rps * share);
@@ -173,29 +180,29 @@
 
 Outbox Core::Tick(Micros now, Micros wall) {
   wall_offset_ = wall - now;
-  if (StoodStill(now)) {
-    // We stood still: that nothing was heard meanwhile says nothing of the machines.
-    effects_.Log(LogLine::Level::kInfo,
-                 "stood still for " + std::to_string((now - now_) / kMilli) + " ms");
+  if (node_health_.ProcessPaused(now)) {
+    // That nothing was heard during the pause says nothing of the machines.
+    effects_.Log(
+        LogLine::Level::kInfo,
+        "stood still for " + std::to_string((now - node_health_.last_tick()) / kMilli) + " ms");
     for (auto& [name, info] : machines_) {
       if (info.since != 0) info.since = now;
     }
-    unwell_at_ = now;
   }
-  if (!StateFresh(now)) unwell_at_ = now;
+  node_health_.BeginTick(now);
   switch (feed_.Due(now)) {
     case ReplicaFeed::Step::kList: StartList(now); break;
     case ReplicaFeed::Step::kWatch: StartWatch(now); break;
     case ReplicaFeed::Step::kWait: break;
   }
-  if (now >= next_heartbeat_) Heartbeat(now);
+  heartbeats_.Tick(now);
   PublishVersion(now);
-  RunLease(now);
-  if (feed_.synced()) RunElections(now);
+  session_lease_.Tick(now);
+  if (feed_.synced()) election_.Tick(now);
   ShareLimits(now);
   RunCloud(now);
   EndStaleRelays(now);
-  now_ = now;
+  node_health_.EndTick(now);
   effects_.set_last_tick(now);
   RunForwards(now);
   After(now);
@@ -243,7 +250,7 @@
   put("adopted_total", c.adopted);
   put("elections_total", c.elections);
   put("lost_leaderships_total", c.lost_leaderships);
-  put("handed_back_total", c.handed_back);
+  put("handed_back_total", c.failbacks);
   put("unresponsive_total", c.unresponsive);
   put("tails_total", c.tails);
   put("helpers_total", c.helpers);
@@ -259,7 +266,7 @@
   const Micros bound = cancellations_.RenewalBound(now);
   put("renewal_bound_ms", static_cast<uint64_t>(std::max<Micros>(0, bound - now) / kMilli));
   put("cancellations_total", c.cancellations);
-  put("told_cancellations_total", c.told_cancellations);
+  put("told_cancellations_total", c.reported_cancellations);
   put("kept_from_forwarding_total", c.kept_from_forwarding);
   put("orphans_total", c.orphans);
   put("refused_by_limits_total", c.refused_by_limits);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -22,8 +22,17 @@
 #include "core/io/io.h"
 #include "core/io/token_bucket.h"
 #include "core/leadership/cancellations.h"
+#include "core/leadership/heartbeat_exchange.h"
+#include "core/leadership/leader_election.h"
+#include "core/leadership/leadership_observer.h"
+#include "core/leadership/leadership_store.h"
+#include "core/leadership/machine_status_source.h"
+#include "core/leadership/node_health.h"
+#include "core/leadership/peer_report_listener.h"
+#include "core/leadership/peer_table.h"
 #include "core/leadership/permits.h"
-#include "core/leadership/session_lease.h"
+#include "core/leadership/session_lease_keeper.h"
+#include "core/leadership/shard_leadership.h"
 #include "core/scheduler/placement.h"
 #include "core/store/dependencies.h"
 #include "core/store/records.h"
@@ -36,8 +45,8 @@
   uint64_t submissions = 0, accepted = 0, refused = 0, polls = 0, aborts = 0;
   uint64_t reports = 0, redirects = 0, relays = 0, forwards = 0, renewed_on_behalf = 0;
   uint64_t renewed = 0, renewed_as_former_leader = 0;
-  uint64_t lists = 0, watches = 0;                     // of the state service, that were answered
-  uint64_t cancellations = 0, told_cancellations = 0;  // in the replica, by peers before it
+  uint64_t lists = 0, watches = 0;  // of the state service, that were answered
+  uint64_t cancellations = 0, reported_cancellations = 0;  // in the replica, by peers before it
   uint64_t kept_from_forwarding = 0;
   uint64_t rounds = 0, oversized = 0;
   uint64_t commits = 0, commit_conflicts = 0, commit_unknown = 0, puts = 0;
@@ -45,14 +54,17 @@
   uint64_t starts = 0, stops = 0, gone = 0, acquired_machines = 0, share_moves = 0, job_moves = 0,
            consolidated = 0;
   uint64_t rented_machines = 0, refused_rentals = 0, returned = 0, adopted = 0;
-  uint64_t elections = 0, lost_leaderships = 0, handed_back = 0;
+  uint64_t elections = 0, lost_leaderships = 0, failbacks = 0;
   uint64_t unresponsive = 0;
   uint64_t orphans = 0;            // jobs that a cancellation of another one cancels
   uint64_t refused_by_limits = 0;  // 400s of the state service
   uint64_t tails = 0, helpers = 0, overdue = 0, preempted = 0, fencing_raises = 0;
 };
 
-class Core {
+class Core : private LeadershipStore,
+             private LeadershipObserver,
+             private MachineStatusSource,
+             private PeerReportListener {
  public:
   // `boot` differs at every start of the process.
   Core(const Settings& settings, uint64_t boot, Micros now, Micros wall);
@@ -66,10 +78,8 @@
   const Counters& counters() const { return counters_; }
   const Effects::CallCounts& call_counts() const { return effects_.call_counts(); }
   // For operators and tests.
-  bool IsLeader(int shard_id) const {
-    return shards_[static_cast<size_t>(shard_id)].leadership.is_leader;
-  }
-  bool Synced() const { return feed_.synced(); }
+  bool IsLeader(int shard_id) const { return election_.IsLeader(shard_id); }
+  bool Synced() const override { return feed_.synced(); }
   const AssignmentTable& AssignmentsOf(int shard_id) const {
     return shards_[static_cast<size_t>(shard_id)].replica.assignments;
   }
@@ -147,21 +157,10 @@
     Progress progress;                           // of open jobs, of all pages
     Micros changed_at = 0;                       // last change of the assignment table
   };
-  // Who leads one shard, as far as this node knows.
-  struct ShardLeadership {
-    bool is_leader = false;
-    uint64_t epoch = 0;        // kept after a loss, to go on answering reports
-    uint64_t rival_epoch = 0;  // highest epoch of another node that we know of
-    std::string rival_leader;
-    std::string previous_leader;  // of the leadership records that we saw, other than ours
-    Micros leaderless_since = 0;
-    Micros elected_at = 0;
-    Micros heard_few_at = 0;  // most machines were silent at once then; 0: never
-    int silent = 0;           // machines that were up and are missed
-    Micros no_election_before = 0;
-    int election_conflicts = 0;  // in a row
-    bool acquiring = false;
-    bool releasing = false;
+  // The failure detector's view of a shard's machines as a whole.
+  struct MachineSilence {
+    Micros most_silent_at = 0;  // most machines were silent at once then; 0: never
+    int silent = 0;             // machines that were up and are missed
   };
   // The scheduling cycles of one shard that this node leads.
   struct CycleState {
@@ -192,8 +191,10 @@
     Micros peak_at = 0;
   };
   struct Shard {
+    explicit Shard(const ShardLeadership& leadership) : leadership(leadership) {}
     ShardReplica replica;
-    ShardLeadership leadership;
+    const ShardLeadership& leadership;  // kept by election_
+    MachineSilence silence;
     CycleState cycle;
   };
 
@@ -258,57 +259,42 @@
   static Micros StageTime(const JobSpec& spec);
   void ApplyInheritedUrgency(const std::string& id);
 
-  // --- heartbeats (heartbeats.cc): what controllers tell each other ----------------
-  void Heartbeat(Micros now);
-  // `seen`: the receiver's replica holds all up to this revision.
-  mesh::Heartbeat MakeHeartbeat(Micros now, uint64_t seen) const;
-  void TellEpochs(mesh::Heartbeat* heartbeat) const;
-  void TellSilentMachines(Micros now, mesh::Heartbeat* heartbeat) const;
-  std::vector<mesh::CachedImages> NextCachedImages();
+  // --- heartbeats (agents/peer_reports.cc): the core's side of MachineStatusSource and of
+  // PeerReportListener --------------------------------------------------------------
+  uint64_t ReplicaRevision() const override { return feed_.revision(); }
+  std::vector<mesh::SilentMachine> SilentMachines(Micros now, size_t limit) const override;
+  CachedImagesPage CachedImagesFrom(const MachineCursor& from, size_t limit) const override;
   std::vector<std::string> CachedServiceImages(const std::string& machine) const;
-  // Another leads our own shard, and we have been well for long enough to lead it ourselves.
-  bool WantsOwnShard(Micros now) const;
-  void HandlePing(Micros now, const std::string& from, const mesh::Ping& ping);
-  void HandleHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
-  void LearnEpochs(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
-  // A peer tells that the job is cancelled.
-  void LearnCancellation(Micros now, const std::string& id);
+  void OnCancellationReported(Micros now, const std::string& id) override;
+  void OnCachedImagesReported(Micros now, const mesh::CachedImages& cached) override;
+  bool OnMachineSilent(Micros now, const std::string& machine, Micros silent) override;
+  void OnMachineHeardAgain(const std::string& machine) override;
   // Whether the machine is in the assignment table of a shard that is not ours.
   bool LedByAnother(const std::string& machine) const;
-  void LearnCachedImages(Micros now, const mesh::Heartbeat& heartbeat);
-  void LearnSilentMachines(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
-
-  // --- leadership (leadership.cc) ----------------------------------------------
-  void RunLease(Micros now);
-  void GrantLease();
-  void RenewLease();
-  void RunElections(Micros now);
-  // The shard has a leadership record: it may be ours and unknown to this process.
-  void ReclaimLeadership(Micros now, int shard_id);
-  // How long a shard must have been without a leader before we take it: the next in the
-  // ring goes first.
-  Micros ElectionDelay(Micros now, int shard_id) const;
-  void AcquireLeadership(Micros now, int shard_id);
-  StateTxn ElectionTxn(int shard_id) const;
-  // Our own shard's leadership record is newer than we know, or has to be renewed with another
-  // form of its table.
-  void CheckOwnLeadership(Micros now, int shard_id);
-  void OnElectionFailed(Micros now, Shard* shard, bool conflict);
-  void OnElected(Micros now, int shard_id, uint64_t revision);
+
+  // --- leadership: the core's side of LeadershipStore (store/leadership_store.cc) and of
+  // LeadershipObserver (agents/takeover.cc) ------------------------------------------
+  uint64_t LeadershipVersion(int shard_id) const override {
+    return ShardAt(shard_id).replica.leadership_version;
+  }
+  const Leadership& LeadershipRecord(int shard_id) const override {
+    return ShardAt(shard_id).replica.leadership_record;
+  }
+  bool NeedsTableMigration(int shard_id) const override;
+  void AddElectionTerms(int shard_id, StateTxn* txn) const override;
+  bool CommitInFlight(int shard_id) const override { return ShardAt(shard_id).cycle.committing; }
+  bool ManyMachinesSilent(int shard_id) const override;
+  void ApplyCommitted(Micros now, const std::vector<StateWrite>& writes,
+                      uint64_t revision) override;
+  void RequestList() override { feed_.RequestList(); }
+  void OnElected(Micros now, int shard_id) override;
+  void OnEpochFell(int shard_id, uint64_t epoch, uint64_t revision) override;
+  void OnLeadershipLost(Micros now, int shard_id, LossReason reason) override;
+  void OnWritesSent(size_t writes) override { counters_.puts += writes; }
   void ForgetDecisions(int shard_id);
   // What a new leader assumes of the machines of its shard.
   void InheritMachines(Micros now, int shard_id);
   static void InheritMachine(uint64_t epoch, const AssignedMachine& machine, MachineInfo* info);
-  void LoseLeadership(Micros now, int shard_id, const char* why);
-  void LoseAllLeaderships(Micros now, const char* why);
-  void HandBack(Micros now, int shard_id);
-  std::string LeaderLabel(int shard_id) const;
-  bool StateFresh(Micros now) const { return now - state_ok_ < 1500 * kMilli; }
-  // Whether this process has just stood still, and has not ticked since. What had arrived for
-  // it meanwhile may be handled before that tick.
-  bool StoodStill(Micros now) const { return now_ != 0 && now - now_ > kStoodStill; }
-  static constexpr Micros kStoodStill = 3 * kSecond;
-  bool Up(Micros now) const;
 
   // --- users' API (submissions.cc, queries.cc, forwarding.cc) ----------------------
   struct Query {
@@ -780,7 +766,7 @@
   void JudgeMachines(Micros now, int shard_id);
   struct SilenceOfShard {
     bool hears_nobody = false;
-    bool heard_few_lately = false;  // most machines were silent within the last lease
+    bool most_silent_lately = false;  // most machines were silent within the last lease
     std::set<std::string> zones_cut_off;
   };
   SilenceOfShard JudgeSilence(Micros now, int shard_id);
@@ -829,7 +815,6 @@
     uint64_t version = 0;
   };
   std::map<std::string, ListItem> list_items_;
-  Micros state_ok_ = 0;  // last answer of the state service
   std::unordered_map<std::string, JobEntry> jobs_;
   std::set<std::string> open_jobs_;
   std::map<std::string, NodeVersion> node_versions_;  // by label
@@ -847,25 +832,12 @@
   std::map<std::string, int> machine_shard_;
 
   // Leadership.
-  SessionLease session_lease_;
-  struct Peer {
-    std::string label;
-    Micros heard = 0;                       // last message
-    uint64_t seen = 0;                      // its replica holds all up to this revision
-    Micros state_age = 0;                   // at `heard`
-    std::set<uint64_t> holds;               // shards that it says are its own
-    std::set<std::string> silent_machines;  // machines that it missed when it last spoke
-  };
-  std::map<std::string, Peer> peers_;
-  Micros now_ = 0;  // of the last tick
-  // The last time without the state service, also by standing still. A node that froze twice
-  // had its shard back within half a second each time: four changes of leader for two.
-  Micros unwell_at_ = 0;
-  uint64_t ping_seq_;
-  Micros next_heartbeat_ = 0;
-  Micros next_cached_images_ = 0;
-  std::pair<size_t, std::string> cached_images_from_;  // shard and machine of the next part
+  NodeHealth node_health_;
+  PeerTable peers_;
   CancellationLog cancellations_;
+  LeaderElection election_;
+  SessionLeaseKeeper session_lease_;
+  HeartbeatExchange heartbeats_;
 
   // Users' API.
   std::map<uint64_t, OpenRequest> open_;
--- a/src/core/leadership/cancellations.cc
+++ b/src/core/leadership/cancellations.cc
@@ -13,8 +13,8 @@
   }
 }
 
-// Whatever we may tell a user, whoever committed it. Only what a node had committed
-// itself used to be told: a cancel whose answer was lost, or that was carried out late,
+// Whatever we may confirm to a user, whoever committed it. Only what a node had committed
+// itself used to be reported: a cancel whose answer was lost, or that was carried out late,
 // reached users through another node's replica and never a peer without the state
 // service, and its tasks lived on.
 void CancellationLog::FillHeartbeat(uint64_t seen, mesh::Heartbeat* heartbeat) const {
@@ -38,8 +38,8 @@
   Peer& peer = peers_[label];
   auto sent = peer.pings.find(pong.seq);
   if (sent == peer.pings.end()) return;
-  // It answers for all that its sender, also the process before, can have told until
-  // then: nothing is told that is not stored, and it has read the store and left nothing
+  // It answers for all that its sender, also the process before, can have confirmed until
+  // then: nothing is confirmed that is not stored, and it has read the store and left nothing
   // out that our replica lacks.
   if (pong.seen != 0 && pong.cancels_from <= sent->second.seen) {
     peer.known_at = std::max(peer.known_at, sent->second.at);
--- a/src/core/leadership/cancellations.h
+++ b/src/core/leadership/cancellations.h
@@ -14,18 +14,19 @@
 
 namespace troutlink {
 
-// The cancels known to one controller, those it owes its peers, and the time up to which it
-// knows all that any of them can have told a user. A controller answers reports, and so renews
-// leases, only within a bound after that time: no cancelled task outlives `cancel_s`. The
-// argument, of which this class is point 2, is in docs/design.md, section "State trouble".
+// The cancels known to one controller, those that it has to report to its peers, and the time up
+// to which it knows all that any of them can have confirmed to a user. A controller answers
+// reports, and so renews leases, only within a bound after that time: no cancelled task outlives
+// `cancel_s`. The argument, of which this class is point 2, is in docs/design.md, section "State
+// trouble".
 //
 // Cancels come from two sources: the replica, each with the revision that committed it, and
-// heartbeats of peers, perhaps before the replica has them. `Core` tells the class what it
-// sees and sends; the class makes no calls.
+// heartbeats of peers, perhaps before the replica has them. HeartbeatExchange and the replica
+// pass it what was received and sent; the class makes no calls.
 class CancellationLog {
  public:
-  // `cancel`: the longest that a cancelled task may run on, by the clock of whoever told the
-  // cancel. `lease`: the life of a worker's lease, by the worker's clock.
+  // `cancel`: the longest that a cancelled task may run on, by the clock of whoever
+  // confirmed the cancel. `lease`: the life of a worker's lease, by the worker's clock.
   CancellationLog(Micros cancel, Micros lease) : cancel_(cancel), lease_(lease) {}
 
   // Every controller but this one is added before the first heartbeat.
@@ -33,12 +34,12 @@
 
   // The replica holds the cancel of `job`, committed at `revision`.
   void AddCommitted(uint64_t revision, const std::string& job);
-  // The replica holds `job` in a final state: no peer's word for it is needed any more.
+  // The replica holds `job` in a final state: no peer's report of it is needed any more.
   void ForgetReported(const std::string& job) { reported_.erase(job); }
-  // A peer tells that `job` is cancelled. True when that is news; the caller has checked that
+  // A peer reports that `job` is cancelled. True when that is news; the caller has checked that
   // the replica does not have the job over.
   bool AddReported(const std::string& job) { return reported_.insert(job).second; }
-  // Whether a peer told it and the replica does not have it yet.
+  // Whether a peer reported it and the replica does not have it yet.
   bool Reported(const std::string& job) const { return reported_.count(job) != 0; }
 
   // Puts the cancels into a heartbeat to a peer whose replica holds all up to `seen`, and
@@ -56,8 +57,8 @@
 
   // The time up to which every peer's cancels are known; `now` without peers.
   Micros KnownUpTo(Micros now) const;
-  // Until then leases of workers may be renewed: no peer can have told a cancel early enough for
-  // its tasks to outlive `cancel` because of us. 0: never.
+  // Until then leases of workers may be renewed: no peer can have confirmed a cancel early enough
+  // for its tasks to outlive `cancel` because of us. 0: never.
   Micros RenewalBound(Micros now) const;
   bool MayRenewLeases(Micros now) const { return now < RenewalBound(now); }
 
--- /dev/null
+++ b/src/core/leadership/heartbeat_exchange.cc
@@ -0,0 +1,96 @@
+#include "core/leadership/heartbeat_exchange.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace troutlink {
+
+namespace {
+constexpr Micros kPingPeriod = 500 * kMilli;
+constexpr Micros kCachedImagesPeriod = 2 * kSecond;
+// Machines in one message. With names as the cloud gives them, all of these and the most cancels
+// that are told take three quarters of a frame.
+constexpr size_t kMaxCachedImages = 1000;    // the next ones follow in the next message
+constexpr size_t kMaxSilentMachines = 8000;  // a whole fleet may fall silent
+constexpr uint64_t kMaxSilence = 3600 * kSecond;
+}  // namespace
+
+void HeartbeatExchange::Tick(Micros now) {
+  if (now < next_pings_) return;
+  next_pings_ = now + kPingPeriod;
+  const std::vector<mesh::CachedImages> cached_images = NextCachedImages(now);
+  for (const auto& [label, peer] : with_.peers->peers()) {
+    mesh::Ping ping;
+    static_cast<mesh::Heartbeat&>(ping) = MakeHeartbeat(now, peer.replica_revision);
+    ping.cached_images = cached_images;
+    ping.seq = ++last_ping_;
+    with_.cancellations->PingSent(label, ping.seq, now, with_.source->ReplicaRevision());
+    with_.effects->SendToPeer({label, std::move(ping)});
+  }
+}
+
+// What machines hold is long and changes slowly. Of a large fleet a part at a time, in turn:
+// receivers keep what they heard of each machine.
+std::vector<mesh::CachedImages> HeartbeatExchange::NextCachedImages(Micros now) {
+  if (now < next_cached_images_) return {};
+  next_cached_images_ = now + kCachedImagesPeriod;
+  CachedImagesPage page = with_.source->CachedImagesFrom(cached_images_from_, kMaxCachedImages);
+  cached_images_from_ = std::move(page.next);
+  return std::move(page.images);
+}
+
+mesh::Heartbeat HeartbeatExchange::MakeHeartbeat(Micros now, uint64_t seen) const {
+  mesh::Heartbeat heartbeat;
+  heartbeat.state_age_us = static_cast<uint64_t>(with_.health->StateAge(now));
+  heartbeat.seen = with_.source->ReplicaRevision();
+  with_.election->FillEpochs(&heartbeat);
+  heartbeat.silent_machines = with_.source->SilentMachines(now, kMaxSilentMachines);
+  with_.cancellations->FillHeartbeat(seen, &heartbeat);
+  with_.election->FillWanted(now, &heartbeat);
+  return heartbeat;
+}
+
+void HeartbeatExchange::OnPing(Micros now, const std::string& from, const mesh::Ping& ping) {
+  OnHeartbeat(now, from, ping);
+  mesh::Pong pong;
+  static_cast<mesh::Heartbeat&>(pong) = MakeHeartbeat(now, ping.seen);
+  pong.seq = ping.seq;
+  with_.effects->SendToPeer({from, std::move(pong)});
+}
+
+void HeartbeatExchange::OnPong(Micros now, const std::string& from, const mesh::Pong& pong) {
+  OnHeartbeat(now, from, pong);
+  with_.cancellations->PongReceived(from, pong);
+}
+
+void HeartbeatExchange::OnHeartbeat(Micros now, const std::string& from,
+                                    const mesh::Heartbeat& heartbeat) {
+  with_.peers->NoteHeartbeat(now, from, heartbeat);
+  with_.election->OnEpochsReported(now, heartbeat.epochs);
+  for (const std::string& job : heartbeat.cancels) {
+    with_.listener->OnCancellationReported(now, job);
+  }
+  for (const mesh::CachedImages& cached : heartbeat.cached_images) {
+    with_.listener->OnCachedImagesReported(now, cached);
+  }
+  OnSilentMachines(now, from, heartbeat.silent_machines);
+  with_.election->OnShardsWanted(now, from, heartbeat.wanted);
+}
+
+void HeartbeatExchange::OnSilentMachines(Micros now, const std::string& from,
+                                         const std::vector<mesh::SilentMachine>& reported) {
+  std::set<std::string> silent_machines;
+  for (const mesh::SilentMachine& silent : reported) {
+    const auto span = static_cast<Micros>(std::min(silent.silent_us, kMaxSilence));
+    if (with_.listener->OnMachineSilent(now, silent.machine, span)) {
+      silent_machines.insert(silent.machine);
+    }
+  }
+  // Heard again by its leader: whoever takes the shard over must not think that it was
+  // silent all the time since.
+  for (const std::string& name : with_.peers->ExchangeSilentMachines(from, silent_machines)) {
+    if (silent_machines.count(name) == 0) with_.listener->OnMachineHeardAgain(name);
+  }
+}
+
+}  // namespace troutlink
--- a/src/core/leadership/permits.cc
+++ b/src/core/leadership/permits.cc
@@ -18,7 +18,7 @@
     case Refusal::kJobUnknown: return "job_unknown";
     case Refusal::kJobBlocked: return "job_blocked";
     case Refusal::kJobOver: return "job_over";
-    case Refusal::kStoodStill: return "stood_still";
+    case Refusal::kProcessPaused: return "stood_still";
     case Refusal::kCancellationsStale: return "cancellations_stale";
     case Refusal::kReplicaStale: return "replica_stale";
   }
@@ -43,7 +43,7 @@
     case Refusal::kJobBlocked: return Violation::kStartBlocked;
     case Refusal::kJobUnknown:
     case Refusal::kJobOver:
-    case Refusal::kStoodStill:
+    case Refusal::kProcessPaused:
     case Refusal::kCancellationsStale:
     case Refusal::kReplicaStale: break;
   }
@@ -60,9 +60,9 @@
     case JobFate::kDone: return Refuse(Refusal::kJobOver);
     case JobFate::kOpen: break;
   }
-  // The leadership may have passed on meanwhile, and cancellations been told, without a word of
-  // either having been handled.
-  if (stood_still) return Refuse(Refusal::kStoodStill);
+  // The leadership may have passed on meanwhile, and cancellations been confirmed, without
+  // a message of either having been handled.
+  if (process_paused) return Refuse(Refusal::kProcessPaused);
   if (now >= cancellations_bound) return Refuse(Refusal::kCancellationsStale);
   return StartPermit();
 }
--- a/src/core/leadership/permits.h
+++ b/src/core/leadership/permits.h
@@ -40,9 +40,9 @@
   kJobUnknown,          // the replica does not hold the job
   kJobBlocked,          // a job that it depends on is not done
   kJobOver,             // the job is cancelled or done
-  kStoodStill,          // the node stood still and has not looked around since
-  kCancellationsStale,  // a peer may have told a cancellation that is not known here
-  kReplicaStale,        // the replica may lack a cancellation that users were told of
+  kProcessPaused,       // the process was paused and has not ticked since
+  kCancellationsStale,  // a peer may have confirmed a cancellation that is not known here
+  kReplicaStale,        // the replica may lack a cancellation that users know of
 };
 inline constexpr size_t kRefusals = 8;
 // As in logs and metrics.
@@ -59,7 +59,7 @@
 struct StartFacts {
   bool is_leader = false;
   bool assigned = false;  // the shard's committed table holds the attempt on that machine
-  bool stood_still = false;
+  bool process_paused = false;
   JobFate fate = JobFate::kUnknown;
   Micros now = 0;
   Micros cancellations_bound = 0;  // until then no unknown cancellation can be overrun
--- a/src/core/leadership/session_lease.cc
+++ b/src/core/leadership/session_lease.cc
@@ -8,17 +8,19 @@
   if (id) id_ = *id;
 }
 
-SessionLease::Renewal SessionLease::RenewAnswered(Micros now, uint64_t id, int status) {
+SessionLease::Renewal SessionLease::RenewAnswered(Micros now, uint64_t id, RenewalAnswer answer) {
   in_flight_ = false;
   if (id != id_) return Renewal::kOutdated;
-  switch (status) {
-    case 200: next_call_ = now + life_ / 4; return Renewal::kRenewed;
-    case 404:
+  switch (answer) {
+    case RenewalAnswer::kRenewed: next_call_ = now + life_ / 4; return Renewal::kRenewed;
+    case RenewalAnswer::kNoSuchLease:
       id_ = 0;
       next_call_ = now;
       return Renewal::kEnded;
-    default: next_call_ = now + kRenewPause; return Renewal::kFailed;
+    case RenewalAnswer::kUnknown: break;
   }
+  next_call_ = now + kRenewPause;
+  return Renewal::kFailed;
 }
 
 }  // namespace troutlink
--- a/src/core/scheduler/commit.cc
+++ b/src/core/scheduler/commit.cc
@@ -276,7 +276,7 @@
   Shard& shard = ShardAt(shard_id);
   std::optional<wire::TxnReply> reply;
   if (status == 200 || status == 409) reply = wire::DecodeTxnReply(body);
-  if (reply) state_ok_ = now;
+  if (reply) node_health_.NoteStateAnswer(now);
   const bool current = shard.leadership.is_leader && shard.leadership.epoch == epoch;
   if (current) shard.cycle.committing = false;
   if (status == 200 && reply) {
--- a/src/core/scheduler/round_window.cc
+++ b/src/core/scheduler/round_window.cc
@@ -48,7 +48,9 @@
   std::map<int, int64_t> room;
   for (const MachineUse& use : shard.replica.machine_use) {
     const MachineType* type = TypeOf(use.machine->type);
-    if (type == nullptr || use.info == nullptr || !Usable(now_, *use.machine, *use.info)) continue;
+    if (type == nullptr || use.info == nullptr ||
+        !Usable(node_health_.last_tick(), *use.machine, *use.info))
+      continue;
     int64_t free = type->size.cpus;
     for (const MachineUse::Slot& slot : use.slots) {
       if (slot.job == nullptr || slot.info == nullptr || slot.info->gone) continue;
--- a/src/core/scheduler/rounds.cc
+++ b/src/core/scheduler/rounds.cc
@@ -28,7 +28,7 @@
   if (runs_.count(id) != 0) return;
   JobRun& run = runs_[id];
   run.shard_id = shard_id;
-  run.last_start = now_;
+  run.last_start = node_health_.last_tick();
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
   if (entry.record.spec.priority == Priority::kProduction && shard.cycle.conflicts == 0) {
     shard.cycle.not_before =
--- a/src/core/store/cluster_version.cc
+++ b/src/core/store/cluster_version.cc
@@ -13,7 +13,8 @@
 // node of another version that runs under this label later would be a return to an earlier
 // release, which is not supported (docs/operating.md).
 void Core::PublishVersion(Micros now) {
-  if (!feed_.synced() || !StateFresh(now) || publishing_version_ || now < publish_version_after_) {
+  if (!feed_.synced() || !node_health_.StateFresh(now) || publishing_version_ ||
+      now < publish_version_after_) {
     return;
   }
   const NodeVersion& own = node_versions_[settings_.label];
@@ -33,7 +34,7 @@
         std::optional<wire::TxnReply> reply;
         if (status == 200) reply = wire::DecodeTxnReply(body);
         if (!reply) return;
-        state_ok_ = answered;
+        node_health_.NoteStateAnswer(answered);
         ApplyPut(answered, write.key, write.value, reply->revision);
       });
 }
--- a/src/core/store/job_fate.cc
+++ b/src/core/store/job_fate.cc
@@ -50,7 +50,7 @@
   StartFacts facts;
   facts.is_leader = ShardAt(shard_id).leadership.is_leader;
   facts.assigned = IsAssigned(shard_id, machine, attempt);
-  facts.stood_still = StoodStill(now);
+  facts.process_paused = node_health_.ProcessPaused(now);
   facts.fate = FateOf(attempt.job);
   facts.now = now;
   facts.cancellations_bound = cancellations_.RenewalBound(now);
--- /dev/null
+++ b/src/core/store/leadership_store.cc
@@ -0,0 +1,31 @@
+// The stored state of shards as elections need it: see LeadershipStore.
+#include "core/core.h"
+
+namespace troutlink {
+
+bool Core::NeedsTableMigration(int shard_id) const { return NeedsCompactForm(ShardAt(shard_id)); }
+
+void Core::AddElectionTerms(int shard_id, StateTxn* txn) const {
+  const Shard& shard = ShardAt(shard_id);
+  AddTableConditions(shard_id, txn);
+  if (NeedsCompactForm(shard)) {
+    const std::string header = AssignmentKey(shard_id, 0, TableForm::kCompact);
+    txn->conditions.push_back({header, 0});
+    txn->writes.push_back({header, EncodeChunk(FirstCompactTable(shard), 0), 0, false});
+  } else if (shard.replica.chunks.count(0) == 0) {
+    txn->writes.push_back(
+        {AssignmentKey(shard_id, 0), EncodeChunk(AssignmentTable(), 0), 0, false});
+  }
+}
+
+bool Core::ManyMachinesSilent(int shard_id) const {
+  const Shard& shard = ShardAt(shard_id);
+  return shard.silence.silent * 20 > static_cast<int>(shard.replica.assignments.machines.size());
+}
+
+void Core::ApplyCommitted(Micros now, const std::vector<StateWrite>& writes, uint64_t revision) {
+  for (const StateWrite& write : writes) ApplyPut(now, write.key, write.value, revision);
+  ReindexShards(now);
+}
+
+}  // namespace troutlink
--- a/src/core/store/pipelines.cc
+++ b/src/core/store/pipelines.cc
@@ -50,7 +50,7 @@
 void Core::AddOrphan(const std::string& id) {
   if (!orphans_.insert(id).second) return;
   ++counters_.orphans;
-  LogCancellation(now_, id, "dependency");
+  LogCancellation(node_health_.last_tick(), id, "dependency");
   for (const std::string& dependent : dependencies_.AllDependentsOf(id)) {
     if (orphans_.insert(dependent).second) ++counters_.orphans;
   }
@@ -78,7 +78,7 @@
     entry.ready_at = std::max(entry.ready_at, jobs_.at(name).record.finished);
   }
   if (!was_blocked) return;
-  if (JobRun* run = RunOf(id)) run->last_start = now_;
+  if (JobRun* run = RunOf(id)) run->last_start = node_health_.last_tick();
   if (LeadsShard(entry.record.shard_id)) MarkDirty(entry.record.shard_id);
 }
 
--- a/src/core/store/replica.cc
+++ b/src/core/store/replica.cc
@@ -35,7 +35,7 @@
     feed_.ListFailed(now);
     return;
   }
-  state_ok_ = now;
+  node_health_.NoteStateAnswer(now);
   feed_.ListPageRead(page->revision);
   for (StateItem& item : page->items) {
     list_items_[item.key] = {std::move(item.value), item.version};
@@ -104,7 +104,7 @@
     feed_.WatchFailed(now);
     return;
   }
-  state_ok_ = now;
+  node_health_.NoteStateAnswer(now);
   for (const StateEvent& event : reply->events) {
     if (event.erase) {
       ApplyErase(now, event.key, event.version);
@@ -236,17 +236,7 @@
   if (!leadership) return;
   shard.replica.leadership_version = version;
   shard.replica.leadership_record = *leadership;
-  shard.leadership.leaderless_since = 0;
-  shard.leadership.election_conflicts = 0;
-  if (leadership->leader == settings_.label && leadership->boot == boot_) return;
-  shard.leadership.previous_leader = leadership->leader;
-  if (version > shard.leadership.rival_epoch) {
-    shard.leadership.rival_epoch = version;
-    shard.leadership.rival_leader = leadership->leader;
-  }
-  if (shard.leadership.is_leader && version > shard.leadership.epoch) {
-    LoseLeadership(now, shard_id, "another leader was elected");
-  }
+  election_.OnRecordPut(now, shard_id, *leadership, version);
 }
 
 // What was done once stays done: pages of any age add up, however they divide the jobs.
@@ -275,10 +265,7 @@
     Shard& shard = ShardAt(key.shard_id);
     if (shard.replica.leadership_version > version) return;
     shard.replica.leadership_version = 0;
-    shard.leadership.leaderless_since = now;
-    // An ended leadership names nobody.
-    if (shard.leadership.rival_epoch <= version) shard.leadership.rival_leader.clear();
-    if (shard.leadership.is_leader) LoseLeadership(now, key.shard_id, "leadership expired");
+    election_.OnRecordErased(now, key.shard_id, version);
   } else if (key.kind == Key::Kind::kAssignments && key.form == TableForm::kOriginal &&
              key.shard_id < settings_.shard_count()) {
     // Chunks are erased only once the compact form has all of their machines.
--- a/tests/cancellations_units_test.cc
+++ b/tests/cancellations_units_test.cc
@@ -171,6 +171,8 @@
 
 constexpr Micros kLife = 4 * kSecond;
 
+using Answer = SessionLease::RenewalAnswer;
+
 TEST(SessionLease, IsAskedForUntilItIsGranted) {
   SessionLease lease(kLife);
   EXPECT_FALSE(lease.held());
@@ -195,12 +197,14 @@
   lease.CallSent();
   lease.GrantAnswered(kSecond, 77);
   lease.CallSent();
-  EXPECT_EQ(lease.RenewAnswered(3 * kSecond, 77, 200), SessionLease::Renewal::kRenewed);
+  EXPECT_EQ(lease.RenewAnswered(3 * kSecond, 77, Answer::kRenewed),
+            SessionLease::Renewal::kRenewed);
   EXPECT_FALSE(lease.CallDue(4 * kSecond - 1));
   EXPECT_TRUE(lease.CallDue(4 * kSecond));
-  for (int status : {0, -1, 429, 500, 503}) {
+  for (int i = 0; i < 5; ++i) {
     lease.CallSent();
-    EXPECT_EQ(lease.RenewAnswered(5 * kSecond, 77, status), SessionLease::Renewal::kFailed);
+    EXPECT_EQ(lease.RenewAnswered(5 * kSecond, 77, Answer::kUnknown),
+              SessionLease::Renewal::kFailed);
     EXPECT_TRUE(lease.held());  // nobody said that it ended
     EXPECT_FALSE(lease.CallDue(5 * kSecond + 250 * kMilli - 1));
     EXPECT_TRUE(lease.CallDue(5 * kSecond + 250 * kMilli));
@@ -212,7 +216,8 @@
   lease.CallSent();
   lease.GrantAnswered(kSecond, 77);
   lease.CallSent();
-  EXPECT_EQ(lease.RenewAnswered(6 * kSecond, 77, 404), SessionLease::Renewal::kEnded);
+  EXPECT_EQ(lease.RenewAnswered(6 * kSecond, 77, Answer::kNoSuchLease),
+            SessionLease::Renewal::kEnded);
   EXPECT_FALSE(lease.held());
   EXPECT_TRUE(lease.CallDue(6 * kSecond));  // a new one is asked for at once
 }
@@ -224,7 +229,8 @@
   lease.CallSent();
   lease.Drop();
   EXPECT_FALSE(lease.held());
-  EXPECT_EQ(lease.RenewAnswered(3 * kSecond, 77, 404), SessionLease::Renewal::kOutdated);
+  EXPECT_EQ(lease.RenewAnswered(3 * kSecond, 77, Answer::kNoSuchLease),
+            SessionLease::Renewal::kOutdated);
   EXPECT_EQ(lease.id(), 0u);
   EXPECT_TRUE(lease.CallDue(3 * kSecond));
 }
--- /dev/null
+++ b/tests/leadership_units_test.cc
@@ -0,0 +1,630 @@
+// Units of src/core/leadership: node health, peers, session lease, elections and heartbeats.
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+
+#include <map>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "core/leadership/commit_answer.h"
+#include "core/leadership/heartbeat_exchange.h"
+#include "core/leadership/leader_election.h"
+#include "core/leadership/node_health.h"
+#include "core/leadership/peer_table.h"
+#include "core/leadership/readiness.h"
+#include "core/leadership/session_lease_keeper.h"
+#include "wire/messages.h"
+
+namespace troutlink {
+namespace {
+
+using ::testing::ElementsAre;
+using ::testing::IsEmpty;
+using ::testing::IsNull;
+using ::testing::NotNull;
+using ::testing::SizeIs;
+
+std::string CommitBody(uint64_t revision) { return wire::Pack({{"ledger", revision}}); }
+std::string GrantBody(uint64_t lease) { return wire::Pack({{"permit", lease}}); }
+
+TEST(NodeHealth, StateIsFreshForAWhileAfterAnAnswer) {
+  NodeHealth health(0);
+  health.NoteStateAnswer(10 * kSecond);
+  EXPECT_TRUE(health.StateFresh(11 * kSecond));
+  EXPECT_EQ(health.StateAge(11 * kSecond), kSecond);
+  EXPECT_TRUE(health.StateFresh(10 * kSecond + 1500 * kMilli - 1));
+  EXPECT_FALSE(health.StateFresh(10 * kSecond + 1500 * kMilli));
+}
+
+TEST(NodeHealth, WithoutAnyAnswerTheStateIsOlderThanAnyPeers) {
+  const NodeHealth health(10 * kSecond);
+  EXPECT_EQ(health.StateAge(12 * kSecond), 3602 * kSecond);
+}
+
+TEST(NodeHealth, APauseLastsUntilTheNextTickEnds) {
+  NodeHealth health(0);
+  EXPECT_FALSE(health.ProcessPaused(60 * kSecond));  // it has not ticked yet
+  health.EndTick(60 * kSecond);
+  EXPECT_FALSE(health.ProcessPaused(63 * kSecond));
+  EXPECT_TRUE(health.ProcessPaused(63 * kSecond + 1));
+  health.BeginTick(64 * kSecond);
+  EXPECT_TRUE(health.ProcessPaused(64 * kSecond));
+  health.EndTick(64 * kSecond);
+  EXPECT_FALSE(health.ProcessPaused(64 * kSecond));
+  EXPECT_EQ(health.last_tick(), 64 * kSecond);
+}
+
+TEST(NodeHealth, IsHealthyOnlySomeTimeAfterAPause) {
+  NodeHealth health(0);
+  auto tick = [&health](Micros now) {
+    health.NoteStateAnswer(now);
+    health.BeginTick(now);
+    health.EndTick(now);
+  };
+  tick(10 * kSecond);
+  EXPECT_TRUE(health.HealthyFor(10 * kSecond, 5 * kSecond));
+  tick(20 * kSecond);  // after a pause of 10 s
+  EXPECT_FALSE(health.HealthyFor(20 * kSecond, 5 * kSecond));
+  for (int second = 21; second <= 26; ++second) tick(second * kSecond);
+  EXPECT_TRUE(health.HealthyFor(26 * kSecond, 5 * kSecond));
+  EXPECT_FALSE(health.HealthyFor(26 * kSecond, 6 * kSecond));
+}
+
+TEST(PeerTable, ShowsTheLastHeartbeatOfEachPeer) {
+  PeerTable peers;
+  peers.Add("b");
+  EXPECT_THAT(peers.Find("x"), IsNull());
+  ASSERT_THAT(peers.Find("b"), NotNull());
+  EXPECT_EQ(peers.At("b").last_heard, 0);
+  mesh::Heartbeat heartbeat;
+  heartbeat.seen = 7;
+  heartbeat.state_age_us = 300;
+  heartbeat.epochs = {{0, 5, "b"}, {1, 6, "c"}, {2, 4, "b"}};
+  peers.NoteHeartbeat(kSecond, "b", heartbeat);
+  EXPECT_EQ(peers.At("b").last_heard, kSecond);
+  EXPECT_EQ(peers.At("b").replica_revision, 7u);
+  EXPECT_EQ(peers.At("b").state_age, 300);
+  EXPECT_THAT(peers.At("b").led_shards, ElementsAre(0, 2));
+  peers.NoteHeartbeat(2 * kSecond, "b", {});
+  EXPECT_THAT(peers.At("b").led_shards, IsEmpty());
+}
+
+TEST(PeerTable, BoundsTheAgeThatAPeerStates) {
+  PeerTable peers;
+  peers.Add("b");
+  mesh::Heartbeat heartbeat;
+  heartbeat.state_age_us = ~uint64_t{0};
+  peers.NoteHeartbeat(kSecond, "b", heartbeat);
+  EXPECT_EQ(peers.At("b").state_age, Micros{1} << 60);
+}
+
+TEST(PeerTable, GivesBackTheMachinesThatWereSilentBefore) {
+  PeerTable peers;
+  peers.Add("b");
+  EXPECT_THAT(peers.ExchangeSilentMachines("b", {"m1", "m2"}), IsEmpty());
+  EXPECT_THAT(peers.ExchangeSilentMachines("b", {"m2"}), ElementsAre("m1", "m2"));
+  EXPECT_THAT(peers.At("b").silent_machines, ElementsAre("m2"));
+}
+
+TEST(Readiness, NeedsTheReplicaAndEitherTheStateServiceOrAPeer) {
+  NodeHealth health(0);
+  PeerTable peers;
+  peers.Add("b");
+  const Micros now = 100 * kSecond;
+  EXPECT_FALSE(IsReady(now, true, health, peers));  // alone, among others
+  peers.NoteHeartbeat(now - 1500 * kMilli, "b", {});
+  EXPECT_FALSE(IsReady(now, true, health, peers));
+  peers.NoteHeartbeat(now - 1500 * kMilli + 1, "b", {});
+  EXPECT_TRUE(IsReady(now, true, health, peers));
+  EXPECT_FALSE(IsReady(now, false, health, peers));
+  EXPECT_TRUE(IsReady(now, true, health, PeerTable()));  // there is nobody else
+  health.NoteStateAnswer(now);
+  EXPECT_FALSE(IsReady(now, false, health, peers));
+  EXPECT_TRUE(IsReady(now + kSecond, true, health, peers));
+}
+
+TEST(CommitAnswer, TellsTheOutcomesApart) {
+  const CommitAnswer committed = DecodeCommitAnswer(200, CommitBody(5));
+  EXPECT_EQ(committed.outcome, CommitOutcome::kCommitted);
+  EXPECT_EQ(committed.revision, 5u);
+  const CommitAnswer conflict = DecodeCommitAnswer(409, CommitBody(6));
+  EXPECT_EQ(conflict.outcome, CommitOutcome::kConflict);
+  EXPECT_EQ(conflict.revision, 6u);
+  EXPECT_EQ(DecodeCommitAnswer(400, "").outcome, CommitOutcome::kRefused);
+  for (const int status : {kNoAnswer, kNotSent, 429, 500, 503}) {
+    EXPECT_EQ(DecodeCommitAnswer(status, CommitBody(5)).outcome, CommitOutcome::kUnknown);
+    EXPECT_EQ(DecodeCommitAnswer(status, CommitBody(5)).revision, std::nullopt);
+  }
+  EXPECT_EQ(DecodeCommitAnswer(200, "\xc1").outcome, CommitOutcome::kCommitted);
+  EXPECT_EQ(DecodeCommitAnswer(200, "\xc1").revision, std::nullopt);
+}
+
+// The stored state of three shards, by hand, and what an election told.
+struct FakeShards : LeadershipStore, LeadershipObserver {
+  struct Record {
+    uint64_t version = 0;
+    Leadership leadership;
+  };
+  bool Synced() const override { return true; }
+  uint64_t LeadershipVersion(int shard_id) const override { return records.at(shard_id).version; }
+  const Leadership& LeadershipRecord(int shard_id) const override {
+    return records.at(shard_id).leadership;
+  }
+  bool NeedsTableMigration(int /*shard_id*/) const override { return migrate; }
+  void AddElectionTerms(int /*shard_id*/, StateTxn* /*txn*/) const override {}
+  bool CommitInFlight(int /*shard_id*/) const override { return commit_in_flight; }
+  bool ManyMachinesSilent(int /*shard_id*/) const override { return many_silent; }
+  void ApplyCommitted(Micros /*now*/, const std::vector<StateWrite>& writes,
+                      uint64_t revision) override {
+    for (const StateWrite& write : writes) {
+      const Key key = ParseKey(write.key);
+      records[key.shard_id] = {revision, *DecodeLeadership(write.value)};
+    }
+  }
+  void RequestList() override { ++lists; }
+  void OnElected(Micros /*now*/, int shard_id) override { elected.push_back(shard_id); }
+  void OnEpochFell(int /*shard_id*/, uint64_t /*epoch*/, uint64_t revision) override {
+    fell.push_back(revision);
+  }
+  void OnLeadershipLost(Micros /*now*/, int /*shard_id*/, LossReason reason) override {
+    losses.push_back(reason);
+  }
+  void OnWritesSent(size_t count) override { writes += count; }
+
+  std::map<int, Record> records = {{0, {}}, {1, {}}, {2, {}}};
+  bool migrate = false, commit_in_flight = false, many_silent = false;
+  int lists = 0;
+  std::vector<int> elected;
+  std::vector<uint64_t> fell;
+  std::vector<LossReason> losses;
+  size_t writes = 0;
+};
+
+constexpr uint64_t kBoot = 9;
+
+// The leadership module of node "a" of "a", "b" and "c", to which shard 0 belongs.
+class LeadershipTest : public ::testing::Test {
+ protected:
+  // Calls sent since the last time, in order.
+  std::vector<Call> Calls() { return effects.TakeOutbox().calls; }
+  // The one call that was sent.
+  Call OnlyCall() {
+    std::vector<Call> calls = Calls();
+    EXPECT_THAT(calls, SizeIs(1));
+    return calls.empty() ? Call() : calls[0];
+  }
+  void HoldLease() {
+    lease.Tick(now);
+    effects.HandleAnswer(now, OnlyCall().id, 200, GrantBody(77));
+    ASSERT_TRUE(lease.held());
+  }
+  // The other shards have leaders.
+  void OthersLead() {
+    for (const int shard_id : {1, 2}) shards.records[shard_id] = {3, {"b", 1}};
+  }
+  // Elects this node leader of its own shard, and of no other, at that revision.
+  void LeadOwnShard(uint64_t revision) {
+    HoldLease();
+    OthersLead();
+    election.Tick(now);
+    effects.HandleAnswer(now, OnlyCall().id, 200, CommitBody(revision));
+    ASSERT_TRUE(election.IsLeader(0));
+  }
+  void Erase(int shard_id, uint64_t revision) {
+    shards.records[shard_id].version = 0;
+    election.OnRecordErased(now, shard_id, revision);
+  }
+
+  Micros now = 100 * kSecond;
+  TokenBucket state_requests{1000, 1000};
+  TokenBucket write_budget{1000, 1000};
+  Effects effects{&state_requests};
+  NodeHealth health{0};
+  FakeShards shards;
+  LeaderElection election{{"a", {"a", "b", "c"}, 0, kBoot, 0, 30 * kSecond, 5 * kSecond},
+                          {&effects, &write_budget, &lease, &health, &shards, &shards}};
+  SessionLeaseKeeper lease{4 * kSecond, &effects, &health, &election};
+};
+
+TEST_F(LeadershipTest, TheSessionLeaseIsAskedForAndRenewed) {
+  lease.Tick(now);
+  const Call grant = OnlyCall();
+  EXPECT_EQ(grant.target, wire::GrantTarget());
+  lease.Tick(now);
+  EXPECT_THAT(Calls(), IsEmpty());  // one call at a time
+  effects.HandleAnswer(now, grant.id, 200, GrantBody(77));
+  EXPECT_EQ(lease.id(), 77u);
+  EXPECT_TRUE(health.StateFresh(now));
+  lease.Tick(now + kSecond);
+  const Call renewal = OnlyCall();
+  EXPECT_EQ(renewal.target, wire::RenewTarget(77));
+  effects.HandleAnswer(now + 2 * kSecond, renewal.id, 200, "");
+  EXPECT_TRUE(lease.held());
+  EXPECT_TRUE(health.StateFresh(now + 2 * kSecond));
+}
+
+TEST_F(LeadershipTest, AFailedRenewalIsRetriedAndProvesNothing) {
+  HoldLease();
+  now += kSecond;
+  for (const int status : {kNoAnswer, kNotSent, 429, 500, 503}) {
+    now += kSecond;
+    lease.Tick(now);
+    effects.HandleAnswer(now, OnlyCall().id, status, "");
+    EXPECT_TRUE(lease.held());  // nobody said that it ended
+    EXPECT_FALSE(health.StateFresh(now));
+    lease.Tick(now + 250 * kMilli - 1);
+    EXPECT_THAT(Calls(), IsEmpty());
+  }
+}
+
+TEST_F(LeadershipTest, AnUnreadableGrantIsNoLease) {
+  lease.Tick(now);
+  effects.HandleAnswer(now, OnlyCall().id, 200, "\xc1");
+  EXPECT_FALSE(lease.held());
+  EXPECT_FALSE(health.StateFresh(now));
+}
+
+TEST_F(LeadershipTest, WithTheSessionLeaseEveryLeadershipEnds) {
+  LeadOwnShard(5);
+  lease.Tick(now + kSecond);
+  effects.HandleAnswer(now + kSecond, OnlyCall().id, 404, "");
+  EXPECT_FALSE(lease.held());
+  EXPECT_FALSE(election.IsLeader(0));
+  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kLeaseEnded));
+  EXPECT_EQ(election.Of(0).epoch, 5u);  // kept, to go on answering reports
+}
+
+TEST_F(LeadershipTest, NobodyStandsForElectionWithoutALease) {
+  election.Tick(now);
+  EXPECT_THAT(Calls(), IsEmpty());
+}
+
+TEST_F(LeadershipTest, ANodeTakesItsOwnShardAtOnceAndOthersInTurn) {
+  HoldLease();
+  election.Tick(now);
+  // Shard 2 belongs to the node before this one in the ring, so this one is the next; for
+  // shard 1 node c comes first.
+  const std::vector<Call> calls = Calls();
+  ASSERT_THAT(calls, SizeIs(2));
+  EXPECT_TRUE(election.Of(0).acquiring);
+  EXPECT_TRUE(election.Of(2).acquiring);
+  election.Tick(now + 600 * kMilli - 1);
+  EXPECT_THAT(Calls(), IsEmpty());
+  election.Tick(now + 600 * kMilli);
+  EXPECT_THAT(Calls(), SizeIs(1));
+  EXPECT_TRUE(election.Of(1).acquiring);
+  effects.HandleAnswer(now, calls[0].id, 200, CommitBody(5));
+  EXPECT_THAT(shards.elected, ElementsAre(0));
+  EXPECT_EQ(shards.records[0].leadership.boot, kBoot);
+  EXPECT_EQ(election.LedShards(), 1);
+  EXPECT_EQ(election.LeaderOf(0), "a");
+}
+
+TEST_F(LeadershipTest, AnElectionWaitsForTokensOfTheWriteBudget) {
+  HoldLease();
+  write_budget.Drain(now);
+  write_budget.Force(now, 1000);
+  election.Tick(now);
+  EXPECT_THAT(Calls(), IsEmpty());
+  EXPECT_FALSE(election.Of(0).acquiring);
+}
+
+TEST_F(LeadershipTest, ConflictsBackOffAndMakeTheReplicaBeReadAgain) {
+  HoldLease();
+  OthersLead();
+  const std::vector<Micros> pauses = {100 * kMilli, 200 * kMilli,  400 * kMilli,
+                                      800 * kMilli, 1600 * kMilli, 1600 * kMilli};
+  for (const Micros pause : pauses) {
+    election.Tick(now);
+    effects.HandleAnswer(now, OnlyCall().id, 409, CommitBody(4));
+    election.Tick(now + pause - 1);
+    EXPECT_THAT(Calls(), IsEmpty());
+    now += pause;
+  }
+  EXPECT_EQ(shards.lists, 1);  // after the fourth
+  EXPECT_FALSE(election.IsLeader(0));
+}
+
+TEST_F(LeadershipTest, ARefusedElectionDropsTheLease) {
+  HoldLease();
+  OthersLead();
+  election.Tick(now);
+  effects.HandleAnswer(now, OnlyCall().id, 400, "");
+  EXPECT_FALSE(lease.held());
+  EXPECT_EQ(election.Of(0).no_election_before, now + 100 * kMilli);
+}
+
+TEST_F(LeadershipTest, AnElectionWhoseAnswerWasLostCounts) {
+  HoldLease();
+  OthersLead();
+  election.Tick(now);
+  const Call call = OnlyCall();
+  shards.records[0] = {6, {"a", kBoot}};
+  election.OnRecordPut(now, 0, {"a", kBoot}, 6);
+  effects.HandleAnswer(now, call.id, kNoAnswer, "");
+  EXPECT_FALSE(election.IsLeader(0));
+  election.Tick(now);
+  EXPECT_TRUE(election.IsLeader(0));
+  EXPECT_EQ(election.Of(0).epoch, 6u);
+}
+
+TEST_F(LeadershipTest, TheRecordOfTheProcessBeforeIsRenewed) {
+  HoldLease();
+  OthersLead();
+  shards.records[0] = {4, {"a", kBoot - 1}};
+  election.Tick(now);
+  EXPECT_THAT(Calls(), SizeIs(1));
+  EXPECT_TRUE(election.Of(0).acquiring);
+}
+
+TEST_F(LeadershipTest, AnEpochNeverFalls) {
+  LeadOwnShard(9);
+  Erase(0, 10);
+  now += kSecond;
+  election.Tick(now);
+  effects.HandleAnswer(now, OnlyCall().id, 200, CommitBody(8));
+  EXPECT_THAT(shards.fell, ElementsAre(8));
+  EXPECT_FALSE(election.IsLeader(0));
+  EXPECT_EQ(election.Of(0).epoch, 9u);
+}
+
+TEST_F(LeadershipTest, ANewerRecordOfAnotherNodeEndsALeadership) {
+  LeadOwnShard(5);
+  election.OnRecordPut(now, 0, {"b", 1}, 6);
+  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kRivalElected));
+  EXPECT_TRUE(election.Of(0).Superseded());
+  EXPECT_EQ(election.PreviousLeaderOf(0), "b");
+}
+
+TEST_F(LeadershipTest, APeersNewerEpochEndsALeadershipAndAnOlderOneDoesNot) {
+  LeadOwnShard(5);
+  election.OnEpochsReported(now, {{0, 4, "b"}, {0, 9, "a"}, {7, 9, "b"}});
+  EXPECT_TRUE(election.IsLeader(0));
+  election.OnEpochsReported(now, {{0, 6, "c"}});
+  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kRivalReported));
+  shards.records[0] = {5, {"a", kBoot}};
+  EXPECT_EQ(election.LeaderOf(0), "c");  // the replica lags
+  shards.records[0] = {7, {"b", 1}};
+  EXPECT_EQ(election.LeaderOf(0), "b");
+}
+
+TEST_F(LeadershipTest, AnEndedRecordNamesNobody) {
+  shards.records[1] = {5, {"b", 1}};
+  election.OnRecordPut(now, 1, {"b", 1}, 5);
+  EXPECT_EQ(election.LeaderOf(1), "b");
+  Erase(1, 6);
+  EXPECT_EQ(election.LeaderOf(1), "");
+}
+
+TEST_F(LeadershipTest, TheEndOfItsRecordEndsALeadership) {
+  LeadOwnShard(5);
+  Erase(0, 6);
+  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kRecordExpired));
+}
+
+TEST_F(LeadershipTest, AMigrationOfTheTableTakesAnElection) {
+  LeadOwnShard(5);
+  shards.migrate = shards.commit_in_flight = true;
+  election.Tick(now);
+  EXPECT_THAT(Calls(), IsEmpty());
+  shards.commit_in_flight = false;
+  election.Tick(now);
+  EXPECT_THAT(Calls(), SizeIs(1));
+}
+
+// Node a leads shard 1 as well, which belongs to b.
+class FailbackTest : public LeadershipTest {
+ protected:
+  void SetUp() override {
+    HoldLease();
+    shards.records[0] = shards.records[2] = {3, {"c", 1}};
+    election.Tick(now);
+    now += 600 * kMilli;
+    election.Tick(now);
+    effects.HandleAnswer(now, OnlyCall().id, 200, CommitBody(5));
+    ASSERT_TRUE(election.IsLeader(1));
+  }
+  void Ask(const std::string& from) {
+    health.NoteStateAnswer(now);
+    election.OnShardsWanted(now, from, {1, 99});
+  }
+};
+
+TEST_F(FailbackTest, AShardGoesBackToItsNodeOnDemand) {
+  now += 5 * kSecond;
+  Ask("c");
+  EXPECT_THAT(Calls(), IsEmpty());  // not c's
+  Ask("b");
+  const Call call = OnlyCall();
+  Ask("b");
+  EXPECT_THAT(Calls(), IsEmpty());  // it is on its way
+  effects.HandleAnswer(now, call.id, 200, CommitBody(6));
+  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kFailback));
+  EXPECT_EQ(election.Of(1).no_election_before, now + 3 * kSecond);
+}
+
+TEST_F(FailbackTest, AShardThatWasNotReleasedIsKept) {
+  now += 5 * kSecond;
+  Ask("b");
+  effects.HandleAnswer(now, OnlyCall().id, 409, CommitBody(6));
+  EXPECT_TRUE(election.IsLeader(1));
+  EXPECT_FALSE(election.Of(1).releasing);
+}
+
+TEST_F(FailbackTest, AShardStaysWhileItsLeaderIsNewOrCommits) {
+  now += 5 * kSecond - 1;
+  Ask("b");
+  EXPECT_THAT(Calls(), IsEmpty());
+  now += 1;
+  shards.commit_in_flight = true;
+  Ask("b");
+  EXPECT_THAT(Calls(), IsEmpty());
+}
+
+TEST_F(FailbackTest, AShardStaysWhileManyMachinesAreSilentButNotForEver) {
+  shards.many_silent = true;
+  now += 60 * kSecond - 1;
+  Ask("b");
+  EXPECT_THAT(Calls(), IsEmpty());
+  now += 1;
+  Ask("b");
+  EXPECT_THAT(Calls(), SizeIs(1));
+}
+
+TEST_F(FailbackTest, ANodeWantsItsShardOnceItHasBeenHealthy) {
+  auto wanted = [this] {
+    mesh::Heartbeat heartbeat;
+    election.FillWanted(now, &heartbeat);
+    return heartbeat.wanted;
+  };
+  health.NoteStateAnswer(now);
+  EXPECT_THAT(wanted(), ElementsAre(0));
+  health.BeginTick(now + 2 * kSecond);  // without the state service
+  health.NoteStateAnswer(now + 2 * kSecond);
+  now += 3 * kSecond;
+  EXPECT_THAT(wanted(), IsEmpty());
+  shards.records[0].version = 0;  // nobody to have it back from
+  health.NoteStateAnswer(now + 60 * kSecond);
+  now += 60 * kSecond;
+  EXPECT_THAT(wanted(), IsEmpty());
+}
+
+// Machines m0 to m2 are this node's, and others are machines of peers.
+struct FakeMachines : MachineStatusSource, PeerReportListener {
+  uint64_t ReplicaRevision() const override { return 12; }
+  std::vector<mesh::SilentMachine> SilentMachines(Micros /*now*/, size_t /*limit*/) const override {
+    return {{"m0", 20}};
+  }
+  CachedImagesPage CachedImagesFrom(const MachineCursor& from, size_t /*limit*/) const override {
+    if (from.machine.empty()) return {{{"m0", {"web"}}}, {0, "m1"}};
+    return {{{from.machine, {"db"}}}, {}};
+  }
+  void OnCancellationReported(Micros /*now*/, const std::string& job) override {
+    cancelled.push_back(job);
+  }
+  void OnCachedImagesReported(Micros /*now*/, const mesh::CachedImages& cached) override {
+    cached_images.push_back(cached.machine);
+  }
+  bool OnMachineSilent(Micros /*now*/, const std::string& machine, Micros silent) override {
+    if (machine[0] == 'm') return false;
+    silences.push_back(silent);
+    return true;
+  }
+  void OnMachineHeardAgain(const std::string& machine) override { back.push_back(machine); }
+
+  std::vector<std::string> cancelled, cached_images, back;
+  std::vector<Micros> silences;
+};
+
+class HeartbeatTest : public LeadershipTest {
+ protected:
+  HeartbeatTest() {
+    for (const std::string label : {"b", "c"}) {
+      peers.Add(label);
+      cancellations.AddPeer(label);
+    }
+  }
+  std::vector<PeerMessage> Messages() { return effects.TakeOutbox().peers; }
+  static const mesh::Ping& PingOf(const PeerMessage& message) {
+    return std::get<mesh::Ping>(message.message);
+  }
+
+  PeerTable peers;
+  CancellationLog cancellations{30 * kSecond, 10 * kSecond};
+  FakeMachines machines;
+  HeartbeatExchange heartbeats{
+      1000, {&effects, &peers, &election, &cancellations, &health, &machines, &machines}};
+};
+
+TEST_F(HeartbeatTest, EveryPeerIsPingedTwiceASecond) {
+  heartbeats.Tick(now);
+  const std::vector<PeerMessage> messages = Messages();
+  ASSERT_THAT(messages, SizeIs(2));
+  EXPECT_EQ(messages[0].to, "b");
+  EXPECT_EQ(messages[1].to, "c");
+  EXPECT_EQ(PingOf(messages[0]).seq, 1001u);
+  EXPECT_EQ(PingOf(messages[1]).seq, 1002u);
+  EXPECT_EQ(PingOf(messages[0]).seen, 12u);
+  EXPECT_THAT(PingOf(messages[0]).silent_machines, ElementsAre(mesh::SilentMachine{"m0", 20}));
+  heartbeats.Tick(now + 500 * kMilli - 1);
+  EXPECT_THAT(Messages(), IsEmpty());
+  heartbeats.Tick(now + 500 * kMilli);
+  EXPECT_THAT(Messages(), SizeIs(2));
+}
+
+TEST_F(HeartbeatTest, NewsThatUsersAreToldOfGoesOutAtTheNextTick) {
+  heartbeats.Tick(now);
+  Messages();
+  heartbeats.SendSoon(now + 1);
+  heartbeats.Tick(now + 1);
+  EXPECT_THAT(Messages(), SizeIs(2));
+}
+
+TEST_F(HeartbeatTest, CachedImagesGoOutInPartsEveryTwoSeconds) {
+  auto images_at = [this](Micros time) {
+    heartbeats.Tick(time);
+    return PingOf(Messages().at(0)).cached_images;
+  };
+  EXPECT_THAT(images_at(now), ElementsAre(mesh::CachedImages{"m0", {"web"}}));
+  EXPECT_THAT(images_at(now + kSecond), IsEmpty());
+  EXPECT_THAT(images_at(now + 2 * kSecond), ElementsAre(mesh::CachedImages{"m1", {"db"}}));
+  EXPECT_THAT(images_at(now + 4 * kSecond), ElementsAre(mesh::CachedImages{"m0", {"web"}}));
+}
+
+TEST_F(HeartbeatTest, APingIsAnsweredWithItsNumber) {
+  cancellations.AddCommitted(8, "old");
+  cancellations.AddCommitted(9, "new");
+  mesh::Ping ping;
+  ping.seq = 42;
+  ping.seen = 8;
+  heartbeats.OnPing(now, "b", ping);
+  const std::vector<PeerMessage> messages = Messages();
+  ASSERT_THAT(messages, SizeIs(1));
+  EXPECT_EQ(messages[0].to, "b");
+  const auto& pong = std::get<mesh::Pong>(messages[0].message);
+  EXPECT_EQ(pong.seq, 42u);
+  EXPECT_THAT(pong.cancels, ElementsAre("new"));
+  EXPECT_EQ(peers.At("b").last_heard, now);
+}
+
+TEST_F(HeartbeatTest, APongProvesWhichCancellationsAreKnown) {
+  cancellations.ReplicaCompleteUpTo(now - 10 * kSecond);
+  heartbeats.Tick(now);
+  for (const PeerMessage& message : Messages()) {
+    mesh::Pong pong;
+    pong.seq = PingOf(message).seq;
+    pong.seen = 3;
+    pong.cancels = {"job"};
+    heartbeats.OnPong(now + kSecond, message.to, pong);
+  }
+  EXPECT_THAT(machines.cancelled, ElementsAre("job", "job"));
+  EXPECT_EQ(cancellations.KnownUpTo(now + kSecond), now);
+}
+
+TEST_F(HeartbeatTest, AMachineIsSilentUntilItsLeaderHearsItAgain) {
+  mesh::Pong pong;
+  pong.silent_machines = {{"m1", 5}, {"x", ~uint64_t{0}}, {"y", 6}};
+  heartbeats.OnPong(now, "b", pong);
+  EXPECT_THAT(machines.silences, ElementsAre(3600 * kSecond, 6));
+  pong.silent_machines = {{"y", 7}};
+  heartbeats.OnPong(now, "b", pong);
+  EXPECT_THAT(machines.back, ElementsAre("x"));
+}
+
+TEST_F(HeartbeatTest, EpochsAreExchanged) {
+  LeadOwnShard(5);
+  mesh::Pong pong;
+  pong.epochs = {{1, 4, "b"}};
+  pong.cached_images = {{"x", {"web"}}};
+  heartbeats.OnPong(now, "b", pong);
+  EXPECT_THAT(machines.cached_images, ElementsAre("x"));
+  EXPECT_THAT(peers.At("b").led_shards, ElementsAre(1));
+  heartbeats.Tick(now);
+  EXPECT_THAT(PingOf(Messages().at(0)).epochs,
+              ElementsAre(mesh::ShardEpoch{0, 5, "a"}, mesh::ShardEpoch{1, 4, "b"}));
+}
+
+}  // namespace
+}  // namespace troutlink
--- a/tests/permits_units_test.cc
+++ b/tests/permits_units_test.cc
@@ -36,7 +36,7 @@
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kBlocked; }), Refusal::kJobBlocked);
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kCancelled; }), Refusal::kJobOver);
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kDone; }), Refusal::kJobOver);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->stood_still = true; }), Refusal::kStoodStill);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->process_paused = true; }), Refusal::kProcessPaused);
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->cancellations_bound = kNow; }),
             Refusal::kCancellationsStale);
 }
@@ -45,7 +45,7 @@
   EXPECT_EQ(ViolationOf(Refusal::kNotLeader), Violation::kStartWithoutLeadership);
   EXPECT_EQ(ViolationOf(Refusal::kNotAssigned), Violation::kStartUnassigned);
   EXPECT_EQ(ViolationOf(Refusal::kJobBlocked), Violation::kStartBlocked);
-  for (const Refusal ordinary : {Refusal::kJobUnknown, Refusal::kJobOver, Refusal::kStoodStill,
+  for (const Refusal ordinary : {Refusal::kJobUnknown, Refusal::kJobOver, Refusal::kProcessPaused,
                                  Refusal::kCancellationsStale, Refusal::kReplicaStale}) {
     EXPECT_EQ(ViolationOf(ordinary), std::nullopt) << NameOf(ordinary);
   }
@@ -76,9 +76,9 @@
   Tally<Refusal, kRefusals> refusals;
   refusals.Add(Refusal::kJobOver);
   refusals.Add(Refusal::kJobOver);
-  refusals.Add(Refusal::kStoodStill);
+  refusals.Add(Refusal::kProcessPaused);
   EXPECT_EQ(refusals.Of(Refusal::kJobOver), 2U);
-  EXPECT_EQ(refusals.Of(Refusal::kStoodStill), 1U);
+  EXPECT_EQ(refusals.Of(Refusal::kProcessPaused), 1U);
   EXPECT_EQ(refusals.Of(Refusal::kNotLeader), 0U);
   EXPECT_EQ(refusals.Total(), 3U);
 }
