--- a/src/core/replica_events.cc
+++ b/src/core/replica_events.cc
@@ -36,7 +36,7 @@
 }
 
 void Core::OnJobUnblocked(const std::string& id, const JobEntry& entry) {
-  if (JobRun* run = RunOf(id)) run->last_start = now_;
+  if (JobRun* run = RunOf(id)) run->last_start = node_health_.last_tick();
   if (LeadsShard(entry.record.shard_id)) MarkDirty(entry.record.shard_id);
 }
 
@@ -46,7 +46,7 @@
 
 void Core::OnCascadeCancelled(const std::string& id, size_t count) {
   counters_.cascade_cancelled += count;
-  LogCancellation(now_, id, "dependency");
+  LogCancellation(node_health_.last_tick(), id, "dependency");
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     if (ShardAt(shard_id).leadership.is_leader) MarkDirty(shard_id);
   }
@@ -113,26 +113,11 @@
 
 void Core::OnLeadershipRecord(Micros now, int shard_id, const Leadership& leadership,
                               uint64_t revision) {
-  ShardLeadership& known = ShardAt(shard_id).leadership;
-  known.leaderless_since = 0;
-  known.election_conflicts = 0;
-  if (leadership.leader == settings_.label && leadership.boot == boot_) return;
-  known.previous_leader = leadership.leader;
-  if (revision > known.rival_epoch) {
-    known.rival_epoch = revision;
-    known.rival_leader = leadership.leader;
-  }
-  if (known.is_leader && revision > known.epoch) {
-    LoseLeadership(now, shard_id, "another leader was elected");
-  }
+  election_.OnRecordPut(now, shard_id, leadership, revision);
 }
 
 void Core::OnLeadershipErased(Micros now, int shard_id, uint64_t revision) {
-  ShardLeadership& known = ShardAt(shard_id).leadership;
-  known.leaderless_since = now;
-  // An ended leadership names nobody.
-  if (known.rival_epoch <= revision) known.rival_leader.clear();
-  if (known.is_leader) LoseLeadership(now, shard_id, "leadership expired");
+  election_.OnRecordErased(now, shard_id, revision);
 }
 
 // --- the rest ----------------------------------------------------------------------------
--- a/src/core/store/replica_sync.cc
+++ b/src/core/store/replica_sync.cc
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "core/io/event.h"
+#include "core/leadership/commit_answer.h"
 #include "core/store/records.h"
 
 namespace troutlink {
@@ -45,7 +46,7 @@
     feed_.ListFailed(now);
     return;
   }
-  RecordAnswer(now);
+  parts_.node_health->NoteStateAnswer(now);
   feed_.ListPageRead(page->revision);
   for (StateItem& item : page->items) {
     list_items_[item.key] = {std::move(item.value), item.version};
@@ -103,7 +104,7 @@
     case WatchOutcome::kFailed: feed_.WatchFailed(now); return;
     case WatchOutcome::kChanges: break;
   }
-  RecordAnswer(now);
+  parts_.node_health->NoteStateAnswer(now);
   ApplyEvents(now, answer.changes.events);
   feed_.WatchAnswered(now, sent, answer.changes.revision);
   parts_.observer->OnCaughtUp(ReplicaObserver::Source::kWatch, feed_.complete_up_to());
@@ -130,7 +131,9 @@
 }
 
 void ReplicaSync::PublishVersion(Micros now) {
-  if (!feed_.synced() || !Fresh(now) || !parts_.cluster_version->PublishDue(now)) return;
+  if (!feed_.synced() || !parts_.node_health->StateFresh(now) ||
+      !parts_.cluster_version->PublishDue(now))
+    return;
   // A process of this node before this one may have had version 1, whose commits may still be
   // carried out late under its leadership record: they do not write a table's header, which
   // commits of version 2 rely on.
@@ -148,11 +151,10 @@
 void ReplicaSync::OnVersionPublished(Micros now, const StateWrite& write, int status,
                                      const std::string& body) {
   parts_.cluster_version->PublishAnswered(now);
-  std::optional<wire::TxnReply> reply;
-  if (status == 200) reply = wire::DecodeTxnReply(body);
-  if (!reply) return;
-  RecordAnswer(now);
-  parts_.replica->ApplyPut(now, write.key, write.value, reply->revision);
+  const CommitAnswer answer = DecodeCommitAnswer(status, body);
+  if (answer.outcome != CommitOutcome::kCommitted || !answer.revision) return;
+  parts_.node_health->NoteStateAnswer(now);
+  parts_.replica->ApplyPut(now, write.key, write.value, *answer.revision);
 }
 
 }  // namespace troutlink
--- a/src/core/store/replica_sync.h
+++ b/src/core/store/replica_sync.h
@@ -11,6 +11,7 @@
 #include "config/settings.h"
 #include "core/io/effects.h"
 #include "core/io/token_bucket.h"
+#include "core/leadership/node_health.h"
 #include "core/store/cluster_version.h"
 #include "core/store/job_table.h"
 #include "core/store/replica.h"
@@ -23,7 +24,7 @@
 
 // Lists everything once, page by page, then follows by one watch after the other, and lists anew
 // when a watch cannot go on. ReplicaFeed decides which of these is next. Also publishes the
-// node's own version, and holds when the state service was last heard from.
+// node's own version.
 class ReplicaSync {
  public:
   // What the class works on and with; all must outlive it.
@@ -32,6 +33,7 @@
     const JobTable* jobs;  // of the replica, for the log
     ClusterVersion* cluster_version;
     Effects* effects;
+    NodeHealth* node_health;      // is told of every answer of the state service
     TokenBucket* state_requests;  // that every request to the state service is charged to
     TokenBucket* state_writes;
     ReplicaObserver* observer;
@@ -47,19 +49,10 @@
   // Something shows that the replica lacks a change: everything is read again soon.
   void RequestList() { feed_.RequestList(); }
 
-  // A call of any module was answered by the state service, not just by something on the way.
-  void RecordAnswer(Micros now) { last_answer_ = now; }
-  // When the state service last answered; 0: never.
-  Micros last_answer() const { return last_answer_; }
-  // Whether it answered lately, so that calls to it are likely to be answered.
-  bool Fresh(Micros now) const { return now - last_answer_ < kFreshFor; }
-
   // How far the replica has been read.
   const ReplicaFeed& feed() const { return feed_; }
 
  private:
-  static constexpr Micros kFreshFor = 1500 * kMilli;
-
   struct ListItem {
     std::string value;
     uint64_t version = 0;
@@ -82,7 +75,6 @@
   const Parts parts_;
   ReplicaFeed feed_;
   std::map<std::string, ListItem> list_items_;  // of the list under way, by key
-  Micros last_answer_ = 0;
 };
 
 }  // namespace troutlink
--- a/tests/store_units_test.cc
+++ b/tests/store_units_test.cc
@@ -419,9 +419,12 @@
   CancellationLog cancellations_{20 * kSecond, 10 * kSecond};
   JobTable jobs_{&cancellations_, &recorder_};
   ClusterVersion version_{settings_};
+  NodeHealth health_{0};
   Replica replica_{2, &jobs_, &version_, &effects_, &recorder_};
   ReplicaSync sync_{
-      settings_, 77, {&replica_, &jobs_, &version_, &effects_, &requests_, &writes_, &recorder_}};
+      settings_,
+      77,
+      {&replica_, &jobs_, &version_, &effects_, &health_, &requests_, &writes_, &recorder_}};
   Texts log_;
 };
 
@@ -440,7 +443,7 @@
   EXPECT_THAT(recorder_.Take(),
               ElementsAre("n2 leads 1 since 11", "open job-1", HasSubstr("list complete up to")));
   EXPECT_TRUE(sync_.feed().synced());
-  EXPECT_EQ(sync_.last_answer(), 3 * kSecond);
+  EXPECT_EQ(health_.StateAge(5 * kSecond), 2 * kSecond);
   const Call watch = TakeCall();
   EXPECT_EQ(watch.dest, Dest::kWatch);
   EXPECT_THAT(watch.target, HasSubstr("from=10&"));
@@ -451,7 +454,7 @@
   sync_.Run(kSecond);
   Answer(5 * kSecond, TakeCall(), 503, Json::object());
   EXPECT_FALSE(sync_.feed().synced());
-  EXPECT_FALSE(sync_.Fresh(5 * kSecond));
+  EXPECT_FALSE(health_.StateFresh(5 * kSecond));
   sync_.Run(6 * kSecond);
   EXPECT_EQ(TakeCall().dest, Dest::kState);
 }
@@ -466,8 +469,8 @@
                                             HasSubstr("watch complete up to")));
   EXPECT_EQ(sync_.feed().revision(), 12U);
   EXPECT_THAT(TakeCall().target, HasSubstr("from=12&"));
-  EXPECT_TRUE(sync_.Fresh(2 * kSecond + 1499 * kMilli));
-  EXPECT_FALSE(sync_.Fresh(2 * kSecond + 1500 * kMilli));
+  EXPECT_TRUE(health_.StateFresh(2 * kSecond + 1499 * kMilli));
+  EXPECT_FALSE(health_.StateFresh(2 * kSecond + 1500 * kMilli));
 }
 
 TEST_F(ReplicaSyncTest, AWatchThatIsTooOldIsFollowedByAListThatErasesWhatIsGone) {
