--- a/src/core/leadership/heartbeat_exchange.h
+++ b/src/core/leadership/heartbeat_exchange.h
@@ -43,8 +43,9 @@
   // The next tick sends pings: there is news that users are told of as well.
   void SendSoon(Micros now) { next_pings_ = now; }
 
-  // A heartbeat of the peer `from` came, which must be in the peer table.
+  // A ping of the peer `from` came, which must be in the peer table: it is answered.
   void OnPing(Micros now, const std::string& from, const mesh::Ping& ping);
+  // The answer of the peer `from` to a ping came.
   void OnPong(Micros now, const std::string& from, const mesh::Pong& pong);
 
  private:
--- a/src/core/leadership/leader_election.h
+++ b/src/core/leadership/leader_election.h
@@ -14,6 +14,7 @@
 #include "core/leadership/leadership_store.h"
 #include "core/leadership/node_health.h"
 #include "core/leadership/session_lease_keeper.h"
+#include "core/leadership/session_lease_observer.h"
 #include "core/leadership/shard_leadership.h"
 #include "mesh/codec.h"
 
@@ -25,6 +26,7 @@
 // node, which gets it back from whoever led it meanwhile (failback).
 class LeaderElection : public SessionLeaseObserver {
  public:
+  // What is fixed at the start of the process; times in microseconds.
   struct Config {
     std::string label;                // of this node
     std::vector<std::string> labels;  // of all nodes; the index is the shard that belongs to it
@@ -48,6 +50,7 @@
 
   // Of a shard, which must exist. The reference stays valid.
   const ShardLeadership& Of(int shard_id) const { return shards_[static_cast<size_t>(shard_id)]; }
+  // Whether this node leads the shard.
   bool IsLeader(int shard_id) const { return Of(shard_id).is_leader; }
   // How many shards this node leads.
   int LedShards() const;
@@ -64,12 +67,14 @@
   void OnRecordPut(Micros now, int shard_id, const Leadership& record, uint64_t version);
   // The shard's leadership record was deleted at `revision`. Called by the replica alone.
   void OnRecordErased(Micros now, int shard_id, uint64_t revision);
+  // Every leadership of this node ends with the lease. Called by the SessionLeaseKeeper.
   void OnSessionLeaseEnded(Micros now) override;
 
-  // Adds the epochs that this node knows, and its own shard if it wants it back.
+  // Adds the epochs that this node knows to a heartbeat.
   void FillEpochs(mesh::Heartbeat* heartbeat) const;
+  // Adds this node's own shard to a heartbeat if it wants it back.
   void FillWanted(Micros now, mesh::Heartbeat* heartbeat) const;
-  // A peer's heartbeat named these leaders.
+  // A peer's heartbeat named these leaders: a leadership with a lower epoch ends.
   void OnEpochsReported(Micros now, const std::vector<mesh::ShardEpoch>& epochs);
   // The peer `from` wants these shards back: those that belong to it are released.
   void OnShardsWanted(Micros now, const std::string& from, const std::vector<uint64_t>& shards);
--- a/src/core/leadership/leadership_observer.h
+++ b/src/core/leadership/leadership_observer.h
@@ -30,6 +30,7 @@
   // An election was committed at a revision that is not above this node's epoch. This must never
   // happen; the leadership is left as it was.
   virtual void OnEpochFell(int shard_id, uint64_t epoch, uint64_t revision) = 0;
+  // This node no longer leads the shard. Its epoch is kept.
   virtual void OnLeadershipLost(Micros now, int shard_id, LossReason reason) = 0;
   // A transaction with so many writes was sent to the state service.
   virtual void OnWritesSent(size_t writes) = 0;
--- a/src/core/leadership/session_lease_keeper.h
+++ b/src/core/leadership/session_lease_keeper.h
@@ -8,17 +8,10 @@
 #include "core/io/effects.h"
 #include "core/leadership/node_health.h"
 #include "core/leadership/session_lease.h"
+#include "core/leadership/session_lease_observer.h"
 
 namespace troutlink {
 
-// Who has to know that the session lease ended.
-class SessionLeaseObserver {
- public:
-  virtual ~SessionLeaseObserver() = default;
-  // The state service has no such lease any more, and so no leadership record under it.
-  virtual void OnSessionLeaseEnded(Micros now) = 0;
-};
-
 // Keeps this process in possession of a session lease: sends the calls that SessionLease finds
 // due and passes it their answers.
 class SessionLeaseKeeper {
@@ -34,6 +27,7 @@
   // The lease's id at the state service; 0: none is held.
   uint64_t id() const { return lease_.id(); }
   bool held() const { return lease_.held(); }
+  // How long the lease lasts without a renewal.
   Micros life() const { return lease_.life(); }
   // A transaction under the lease was refused as there is no such lease: a new one is asked for.
   void Drop() { lease_.Drop(); }
--- /dev/null
+++ b/src/core/leadership/session_lease_observer.h
@@ -0,0 +1,19 @@
+// Who has to know that the session lease ended.
+#ifndef TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_OBSERVER_H_
+#define TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_OBSERVER_H_
+
+#include "base/micros.h"
+
+namespace troutlink {
+
+// Called by SessionLeaseKeeper.
+class SessionLeaseObserver {
+ public:
+  virtual ~SessionLeaseObserver() = default;
+  // The state service has no such lease any more, and so no leadership record under it.
+  virtual void OnSessionLeaseEnded(Micros now) = 0;
+};
+
+}  // namespace troutlink
+
+#endif  // TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_OBSERVER_H_
--- a/tests/leadership_units_test.cc
+++ b/tests/leadership_units_test.cc
@@ -188,7 +188,7 @@
 class LeadershipTest : public ::testing::Test {
  protected:
   // Calls sent since the last time, in order.
-  std::vector<Call> Calls() { return effects.TakeOutbox().calls; }
+  std::vector<Call> Calls() { return effects_.TakeOutbox().calls; }
   // The one call that was sent.
   Call OnlyCall() {
     std::vector<Call> calls = Calls();
@@ -196,119 +196,119 @@
     return calls.empty() ? Call() : calls[0];
   }
   void HoldLease() {
-    lease.Tick(now);
-    effects.HandleAnswer(now, OnlyCall().id, 200, GrantBody(77));
-    ASSERT_TRUE(lease.held());
+    lease_.Tick(now_);
+    effects_.HandleAnswer(now_, OnlyCall().id, 200, GrantBody(77));
+    ASSERT_TRUE(lease_.held());
   }
   // The other shards have leaders.
   void OthersLead() {
-    for (const int shard_id : {1, 2}) shards.records[shard_id] = {3, {"b", 1}};
+    for (const int shard_id : {1, 2}) shards_.records[shard_id] = {3, {"b", 1}};
   }
   // Elects this node leader of its own shard, and of no other, at that revision.
   void LeadOwnShard(uint64_t revision) {
     HoldLease();
     OthersLead();
-    election.Tick(now);
-    effects.HandleAnswer(now, OnlyCall().id, 200, CommitBody(revision));
-    ASSERT_TRUE(election.IsLeader(0));
+    election_.Tick(now_);
+    effects_.HandleAnswer(now_, OnlyCall().id, 200, CommitBody(revision));
+    ASSERT_TRUE(election_.IsLeader(0));
   }
   void Erase(int shard_id, uint64_t revision) {
-    shards.records[shard_id].version = 0;
-    election.OnRecordErased(now, shard_id, revision);
+    shards_.records[shard_id].version = 0;
+    election_.OnRecordErased(now_, shard_id, revision);
   }
 
-  Micros now = 100 * kSecond;
-  TokenBucket state_requests{1000, 1000};
-  TokenBucket write_budget{1000, 1000};
-  Effects effects{&state_requests};
-  NodeHealth health{0};
-  FakeShards shards;
-  LeaderElection election{{"a", {"a", "b", "c"}, 0, kBoot, 0, 30 * kSecond, 5 * kSecond},
-                          {&effects, &write_budget, &lease, &health, &shards, &shards}};
-  SessionLeaseKeeper lease{4 * kSecond, &effects, &health, &election};
+  Micros now_ = 100 * kSecond;
+  TokenBucket state_requests_{1000, 1000};
+  TokenBucket write_budget_{1000, 1000};
+  Effects effects_{&state_requests_};
+  NodeHealth health_{0};
+  FakeShards shards_;
+  LeaderElection election_{{"a", {"a", "b", "c"}, 0, kBoot, 0, 30 * kSecond, 5 * kSecond},
+                           {&effects_, &write_budget_, &lease_, &health_, &shards_, &shards_}};
+  SessionLeaseKeeper lease_{4 * kSecond, &effects_, &health_, &election_};
 };
 
 TEST_F(LeadershipTest, TheSessionLeaseIsAskedForAndRenewed) {
-  lease.Tick(now);
+  lease_.Tick(now_);
   const Call grant = OnlyCall();
   EXPECT_EQ(grant.target, wire::GrantTarget());
-  lease.Tick(now);
+  lease_.Tick(now_);
   EXPECT_THAT(Calls(), IsEmpty());  // one call at a time
-  effects.HandleAnswer(now, grant.id, 200, GrantBody(77));
-  EXPECT_EQ(lease.id(), 77u);
-  EXPECT_TRUE(health.StateFresh(now));
-  lease.Tick(now + kSecond);
+  effects_.HandleAnswer(now_, grant.id, 200, GrantBody(77));
+  EXPECT_EQ(lease_.id(), 77u);
+  EXPECT_TRUE(health_.StateFresh(now_));
+  lease_.Tick(now_ + kSecond);
   const Call renewal = OnlyCall();
   EXPECT_EQ(renewal.target, wire::RenewTarget(77));
-  effects.HandleAnswer(now + 2 * kSecond, renewal.id, 200, "");
-  EXPECT_TRUE(lease.held());
-  EXPECT_TRUE(health.StateFresh(now + 2 * kSecond));
+  effects_.HandleAnswer(now_ + 2 * kSecond, renewal.id, 200, "");
+  EXPECT_TRUE(lease_.held());
+  EXPECT_TRUE(health_.StateFresh(now_ + 2 * kSecond));
 }
 
 TEST_F(LeadershipTest, AFailedRenewalIsRetriedAndProvesNothing) {
   HoldLease();
-  now += kSecond;
+  now_ += kSecond;
   for (const int status : {kNoAnswer, kNotSent, 429, 500, 503}) {
-    now += kSecond;
-    lease.Tick(now);
-    effects.HandleAnswer(now, OnlyCall().id, status, "");
-    EXPECT_TRUE(lease.held());  // nobody said that it ended
-    EXPECT_FALSE(health.StateFresh(now));
-    lease.Tick(now + 250 * kMilli - 1);
+    now_ += kSecond;
+    lease_.Tick(now_);
+    effects_.HandleAnswer(now_, OnlyCall().id, status, "");
+    EXPECT_TRUE(lease_.held());  // nobody said that it ended
+    EXPECT_FALSE(health_.StateFresh(now_));
+    lease_.Tick(now_ + 250 * kMilli - 1);
     EXPECT_THAT(Calls(), IsEmpty());
   }
 }
 
 TEST_F(LeadershipTest, AnUnreadableGrantIsNoLease) {
-  lease.Tick(now);
-  effects.HandleAnswer(now, OnlyCall().id, 200, "\xc1");
-  EXPECT_FALSE(lease.held());
-  EXPECT_FALSE(health.StateFresh(now));
+  lease_.Tick(now_);
+  effects_.HandleAnswer(now_, OnlyCall().id, 200, "\xc1");
+  EXPECT_FALSE(lease_.held());
+  EXPECT_FALSE(health_.StateFresh(now_));
 }
 
 TEST_F(LeadershipTest, WithTheSessionLeaseEveryLeadershipEnds) {
   LeadOwnShard(5);
-  lease.Tick(now + kSecond);
-  effects.HandleAnswer(now + kSecond, OnlyCall().id, 404, "");
-  EXPECT_FALSE(lease.held());
-  EXPECT_FALSE(election.IsLeader(0));
-  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kLeaseEnded));
-  EXPECT_EQ(election.Of(0).epoch, 5u);  // kept, to go on answering reports
+  lease_.Tick(now_ + kSecond);
+  effects_.HandleAnswer(now_ + kSecond, OnlyCall().id, 404, "");
+  EXPECT_FALSE(lease_.held());
+  EXPECT_FALSE(election_.IsLeader(0));
+  EXPECT_THAT(shards_.losses, ElementsAre(LossReason::kLeaseEnded));
+  EXPECT_EQ(election_.Of(0).epoch, 5u);  // kept, to go on answering reports
 }
 
 TEST_F(LeadershipTest, NobodyStandsForElectionWithoutALease) {
-  election.Tick(now);
+  election_.Tick(now_);
   EXPECT_THAT(Calls(), IsEmpty());
 }
 
 TEST_F(LeadershipTest, ANodeTakesItsOwnShardAtOnceAndOthersInTurn) {
   HoldLease();
-  election.Tick(now);
+  election_.Tick(now_);
   // Shard 2 belongs to the node before this one in the ring, so this one is the next; for
   // shard 1 node c comes first.
   const std::vector<Call> calls = Calls();
   ASSERT_THAT(calls, SizeIs(2));
-  EXPECT_TRUE(election.Of(0).acquiring);
-  EXPECT_TRUE(election.Of(2).acquiring);
-  election.Tick(now + 600 * kMilli - 1);
+  EXPECT_TRUE(election_.Of(0).acquiring);
+  EXPECT_TRUE(election_.Of(2).acquiring);
+  election_.Tick(now_ + 600 * kMilli - 1);
   EXPECT_THAT(Calls(), IsEmpty());
-  election.Tick(now + 600 * kMilli);
+  election_.Tick(now_ + 600 * kMilli);
   EXPECT_THAT(Calls(), SizeIs(1));
-  EXPECT_TRUE(election.Of(1).acquiring);
-  effects.HandleAnswer(now, calls[0].id, 200, CommitBody(5));
-  EXPECT_THAT(shards.elected, ElementsAre(0));
-  EXPECT_EQ(shards.records[0].leadership.boot, kBoot);
-  EXPECT_EQ(election.LedShards(), 1);
-  EXPECT_EQ(election.LeaderOf(0), "a");
+  EXPECT_TRUE(election_.Of(1).acquiring);
+  effects_.HandleAnswer(now_, calls[0].id, 200, CommitBody(5));
+  EXPECT_THAT(shards_.elected, ElementsAre(0));
+  EXPECT_EQ(shards_.records[0].leadership.boot, kBoot);
+  EXPECT_EQ(election_.LedShards(), 1);
+  EXPECT_EQ(election_.LeaderOf(0), "a");
 }
 
 TEST_F(LeadershipTest, AnElectionWaitsForTokensOfTheWriteBudget) {
   HoldLease();
-  write_budget.Drain(now);
-  write_budget.Force(now, 1000);
-  election.Tick(now);
+  write_budget_.Drain(now_);
+  write_budget_.Force(now_, 1000);
+  election_.Tick(now_);
   EXPECT_THAT(Calls(), IsEmpty());
-  EXPECT_FALSE(election.Of(0).acquiring);
+  EXPECT_FALSE(election_.Of(0).acquiring);
 }
 
 TEST_F(LeadershipTest, ConflictsBackOffAndMakeTheReplicaBeReadAgain) {
@@ -317,100 +317,100 @@
   const std::vector<Micros> pauses = {100 * kMilli, 200 * kMilli,  400 * kMilli,
                                       800 * kMilli, 1600 * kMilli, 1600 * kMilli};
   for (const Micros pause : pauses) {
-    election.Tick(now);
-    effects.HandleAnswer(now, OnlyCall().id, 409, CommitBody(4));
-    election.Tick(now + pause - 1);
+    election_.Tick(now_);
+    effects_.HandleAnswer(now_, OnlyCall().id, 409, CommitBody(4));
+    election_.Tick(now_ + pause - 1);
     EXPECT_THAT(Calls(), IsEmpty());
-    now += pause;
+    now_ += pause;
   }
-  EXPECT_EQ(shards.lists, 1);  // after the fourth
-  EXPECT_FALSE(election.IsLeader(0));
+  EXPECT_EQ(shards_.lists, 1);  // after the fourth
+  EXPECT_FALSE(election_.IsLeader(0));
 }
 
 TEST_F(LeadershipTest, ARefusedElectionDropsTheLease) {
   HoldLease();
   OthersLead();
-  election.Tick(now);
-  effects.HandleAnswer(now, OnlyCall().id, 400, "");
-  EXPECT_FALSE(lease.held());
-  EXPECT_EQ(election.Of(0).no_election_before, now + 100 * kMilli);
+  election_.Tick(now_);
+  effects_.HandleAnswer(now_, OnlyCall().id, 400, "");
+  EXPECT_FALSE(lease_.held());
+  EXPECT_EQ(election_.Of(0).no_election_before, now_ + 100 * kMilli);
 }
 
 TEST_F(LeadershipTest, AnElectionWhoseAnswerWasLostCounts) {
   HoldLease();
   OthersLead();
-  election.Tick(now);
+  election_.Tick(now_);
   const Call call = OnlyCall();
-  shards.records[0] = {6, {"a", kBoot}};
-  election.OnRecordPut(now, 0, {"a", kBoot}, 6);
-  effects.HandleAnswer(now, call.id, kNoAnswer, "");
-  EXPECT_FALSE(election.IsLeader(0));
-  election.Tick(now);
-  EXPECT_TRUE(election.IsLeader(0));
-  EXPECT_EQ(election.Of(0).epoch, 6u);
+  shards_.records[0] = {6, {"a", kBoot}};
+  election_.OnRecordPut(now_, 0, {"a", kBoot}, 6);
+  effects_.HandleAnswer(now_, call.id, kNoAnswer, "");
+  EXPECT_FALSE(election_.IsLeader(0));
+  election_.Tick(now_);
+  EXPECT_TRUE(election_.IsLeader(0));
+  EXPECT_EQ(election_.Of(0).epoch, 6u);
 }
 
 TEST_F(LeadershipTest, TheRecordOfTheProcessBeforeIsRenewed) {
   HoldLease();
   OthersLead();
-  shards.records[0] = {4, {"a", kBoot - 1}};
-  election.Tick(now);
+  shards_.records[0] = {4, {"a", kBoot - 1}};
+  election_.Tick(now_);
   EXPECT_THAT(Calls(), SizeIs(1));
-  EXPECT_TRUE(election.Of(0).acquiring);
+  EXPECT_TRUE(election_.Of(0).acquiring);
 }
 
 TEST_F(LeadershipTest, AnEpochNeverFalls) {
   LeadOwnShard(9);
   Erase(0, 10);
-  now += kSecond;
-  election.Tick(now);
-  effects.HandleAnswer(now, OnlyCall().id, 200, CommitBody(8));
-  EXPECT_THAT(shards.fell, ElementsAre(8));
-  EXPECT_FALSE(election.IsLeader(0));
-  EXPECT_EQ(election.Of(0).epoch, 9u);
+  now_ += kSecond;
+  election_.Tick(now_);
+  effects_.HandleAnswer(now_, OnlyCall().id, 200, CommitBody(8));
+  EXPECT_THAT(shards_.fell, ElementsAre(8));
+  EXPECT_FALSE(election_.IsLeader(0));
+  EXPECT_EQ(election_.Of(0).epoch, 9u);
 }
 
 TEST_F(LeadershipTest, ANewerRecordOfAnotherNodeEndsALeadership) {
   LeadOwnShard(5);
-  election.OnRecordPut(now, 0, {"b", 1}, 6);
-  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kRivalElected));
-  EXPECT_TRUE(election.Of(0).Superseded());
-  EXPECT_EQ(election.PreviousLeaderOf(0), "b");
+  election_.OnRecordPut(now_, 0, {"b", 1}, 6);
+  EXPECT_THAT(shards_.losses, ElementsAre(LossReason::kRivalElected));
+  EXPECT_TRUE(election_.Of(0).Superseded());
+  EXPECT_EQ(election_.PreviousLeaderOf(0), "b");
 }
 
 TEST_F(LeadershipTest, APeersNewerEpochEndsALeadershipAndAnOlderOneDoesNot) {
   LeadOwnShard(5);
-  election.OnEpochsReported(now, {{0, 4, "b"}, {0, 9, "a"}, {7, 9, "b"}});
-  EXPECT_TRUE(election.IsLeader(0));
-  election.OnEpochsReported(now, {{0, 6, "c"}});
-  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kRivalReported));
-  shards.records[0] = {5, {"a", kBoot}};
-  EXPECT_EQ(election.LeaderOf(0), "c");  // the replica lags
-  shards.records[0] = {7, {"b", 1}};
-  EXPECT_EQ(election.LeaderOf(0), "b");
+  election_.OnEpochsReported(now_, {{0, 4, "b"}, {0, 9, "a"}, {7, 9, "b"}});
+  EXPECT_TRUE(election_.IsLeader(0));
+  election_.OnEpochsReported(now_, {{0, 6, "c"}});
+  EXPECT_THAT(shards_.losses, ElementsAre(LossReason::kRivalReported));
+  shards_.records[0] = {5, {"a", kBoot}};
+  EXPECT_EQ(election_.LeaderOf(0), "c");  // the replica lags
+  shards_.records[0] = {7, {"b", 1}};
+  EXPECT_EQ(election_.LeaderOf(0), "b");
 }
 
 TEST_F(LeadershipTest, AnEndedRecordNamesNobody) {
-  shards.records[1] = {5, {"b", 1}};
-  election.OnRecordPut(now, 1, {"b", 1}, 5);
-  EXPECT_EQ(election.LeaderOf(1), "b");
+  shards_.records[1] = {5, {"b", 1}};
+  election_.OnRecordPut(now_, 1, {"b", 1}, 5);
+  EXPECT_EQ(election_.LeaderOf(1), "b");
   Erase(1, 6);
-  EXPECT_EQ(election.LeaderOf(1), "");
+  EXPECT_EQ(election_.LeaderOf(1), "");
 }
 
 TEST_F(LeadershipTest, TheEndOfItsRecordEndsALeadership) {
   LeadOwnShard(5);
   Erase(0, 6);
-  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kRecordExpired));
+  EXPECT_THAT(shards_.losses, ElementsAre(LossReason::kRecordExpired));
 }
 
 TEST_F(LeadershipTest, AMigrationOfTheTableTakesAnElection) {
   LeadOwnShard(5);
-  shards.migrate = shards.commit_in_flight = true;
-  election.Tick(now);
+  shards_.migrate = shards_.commit_in_flight = true;
+  election_.Tick(now_);
   EXPECT_THAT(Calls(), IsEmpty());
-  shards.commit_in_flight = false;
-  election.Tick(now);
+  shards_.commit_in_flight = false;
+  election_.Tick(now_);
   EXPECT_THAT(Calls(), SizeIs(1));
 }
 
@@ -419,56 +419,56 @@
  protected:
   void SetUp() override {
     HoldLease();
-    shards.records[0] = shards.records[2] = {3, {"c", 1}};
-    election.Tick(now);
-    now += 600 * kMilli;
-    election.Tick(now);
-    effects.HandleAnswer(now, OnlyCall().id, 200, CommitBody(5));
-    ASSERT_TRUE(election.IsLeader(1));
+    shards_.records[0] = shards_.records[2] = {3, {"c", 1}};
+    election_.Tick(now_);
+    now_ += 600 * kMilli;
+    election_.Tick(now_);
+    effects_.HandleAnswer(now_, OnlyCall().id, 200, CommitBody(5));
+    ASSERT_TRUE(election_.IsLeader(1));
   }
   void Ask(const std::string& from) {
-    health.NoteStateAnswer(now);
-    election.OnShardsWanted(now, from, {1, 99});
+    health_.NoteStateAnswer(now_);
+    election_.OnShardsWanted(now_, from, {1, 99});
   }
 };
 
 TEST_F(FailbackTest, AShardGoesBackToItsNodeOnDemand) {
-  now += 5 * kSecond;
+  now_ += 5 * kSecond;
   Ask("c");
   EXPECT_THAT(Calls(), IsEmpty());  // not c's
   Ask("b");
   const Call call = OnlyCall();
   Ask("b");
   EXPECT_THAT(Calls(), IsEmpty());  // it is on its way
-  effects.HandleAnswer(now, call.id, 200, CommitBody(6));
-  EXPECT_THAT(shards.losses, ElementsAre(LossReason::kFailback));
-  EXPECT_EQ(election.Of(1).no_election_before, now + 3 * kSecond);
+  effects_.HandleAnswer(now_, call.id, 200, CommitBody(6));
+  EXPECT_THAT(shards_.losses, ElementsAre(LossReason::kFailback));
+  EXPECT_EQ(election_.Of(1).no_election_before, now_ + 3 * kSecond);
 }
 
 TEST_F(FailbackTest, AShardThatWasNotReleasedIsKept) {
-  now += 5 * kSecond;
+  now_ += 5 * kSecond;
   Ask("b");
-  effects.HandleAnswer(now, OnlyCall().id, 409, CommitBody(6));
-  EXPECT_TRUE(election.IsLeader(1));
-  EXPECT_FALSE(election.Of(1).releasing);
+  effects_.HandleAnswer(now_, OnlyCall().id, 409, CommitBody(6));
+  EXPECT_TRUE(election_.IsLeader(1));
+  EXPECT_FALSE(election_.Of(1).releasing);
 }
 
 TEST_F(FailbackTest, AShardStaysWhileItsLeaderIsNewOrCommits) {
-  now += 5 * kSecond - 1;
+  now_ += 5 * kSecond - 1;
   Ask("b");
   EXPECT_THAT(Calls(), IsEmpty());
-  now += 1;
-  shards.commit_in_flight = true;
+  now_ += 1;
+  shards_.commit_in_flight = true;
   Ask("b");
   EXPECT_THAT(Calls(), IsEmpty());
 }
 
 TEST_F(FailbackTest, AShardStaysWhileManyMachinesAreSilentButNotForEver) {
-  shards.many_silent = true;
-  now += 60 * kSecond - 1;
+  shards_.many_silent = true;
+  now_ += 60 * kSecond - 1;
   Ask("b");
   EXPECT_THAT(Calls(), IsEmpty());
-  now += 1;
+  now_ += 1;
   Ask("b");
   EXPECT_THAT(Calls(), SizeIs(1));
 }
@@ -476,18 +476,18 @@
 TEST_F(FailbackTest, ANodeWantsItsShardOnceItHasBeenHealthy) {
   auto wanted = [this] {
     mesh::Heartbeat heartbeat;
-    election.FillWanted(now, &heartbeat);
+    election_.FillWanted(now_, &heartbeat);
     return heartbeat.wanted;
   };
-  health.NoteStateAnswer(now);
+  health_.NoteStateAnswer(now_);
   EXPECT_THAT(wanted(), ElementsAre(0));
-  health.BeginTick(now + 2 * kSecond);  // without the state service
-  health.NoteStateAnswer(now + 2 * kSecond);
-  now += 3 * kSecond;
+  health_.BeginTick(now_ + 2 * kSecond);  // without the state service
+  health_.NoteStateAnswer(now_ + 2 * kSecond);
+  now_ += 3 * kSecond;
   EXPECT_THAT(wanted(), IsEmpty());
-  shards.records[0].version = 0;  // nobody to have it back from
-  health.NoteStateAnswer(now + 60 * kSecond);
-  now += 60 * kSecond;
+  shards_.records[0].version = 0;  // nobody to have it back from
+  health_.NoteStateAnswer(now_ + 60 * kSecond);
+  now_ += 60 * kSecond;
   EXPECT_THAT(wanted(), IsEmpty());
 }
 
@@ -522,24 +522,24 @@
  protected:
   HeartbeatTest() {
     for (const std::string label : {"b", "c"}) {
-      peers.Add(label);
-      cancellations.AddPeer(label);
+      peers_.Add(label);
+      cancellations_.AddPeer(label);
     }
   }
-  std::vector<PeerMessage> Messages() { return effects.TakeOutbox().peers; }
+  std::vector<PeerMessage> Messages() { return effects_.TakeOutbox().peers; }
   static const mesh::Ping& PingOf(const PeerMessage& message) {
     return std::get<mesh::Ping>(message.message);
   }
 
-  PeerTable peers;
-  CancellationLog cancellations{30 * kSecond, 10 * kSecond};
-  FakeMachines machines;
-  HeartbeatExchange heartbeats{
-      1000, {&effects, &peers, &election, &cancellations, &health, &machines, &machines}};
+  PeerTable peers_;
+  CancellationLog cancellations_{30 * kSecond, 10 * kSecond};
+  FakeMachines machines_;
+  HeartbeatExchange heartbeats_{
+      1000, {&effects_, &peers_, &election_, &cancellations_, &health_, &machines_, &machines_}};
 };
 
 TEST_F(HeartbeatTest, EveryPeerIsPingedTwiceASecond) {
-  heartbeats.Tick(now);
+  heartbeats_.Tick(now_);
   const std::vector<PeerMessage> messages = Messages();
   ASSERT_THAT(messages, SizeIs(2));
   EXPECT_EQ(messages[0].to, "b");
@@ -548,69 +548,69 @@
   EXPECT_EQ(PingOf(messages[1]).seq, 1002u);
   EXPECT_EQ(PingOf(messages[0]).seen, 12u);
   EXPECT_THAT(PingOf(messages[0]).silent_machines, ElementsAre(mesh::SilentMachine{"m0", 20}));
-  heartbeats.Tick(now + 500 * kMilli - 1);
+  heartbeats_.Tick(now_ + 500 * kMilli - 1);
   EXPECT_THAT(Messages(), IsEmpty());
-  heartbeats.Tick(now + 500 * kMilli);
+  heartbeats_.Tick(now_ + 500 * kMilli);
   EXPECT_THAT(Messages(), SizeIs(2));
 }
 
 TEST_F(HeartbeatTest, NewsThatUsersAreToldOfGoesOutAtTheNextTick) {
-  heartbeats.Tick(now);
+  heartbeats_.Tick(now_);
   Messages();
-  heartbeats.SendSoon(now + 1);
-  heartbeats.Tick(now + 1);
+  heartbeats_.SendSoon(now_ + 1);
+  heartbeats_.Tick(now_ + 1);
   EXPECT_THAT(Messages(), SizeIs(2));
 }
 
 TEST_F(HeartbeatTest, CachedImagesGoOutInPartsEveryTwoSeconds) {
   auto images_at = [this](Micros time) {
-    heartbeats.Tick(time);
+    heartbeats_.Tick(time);
     return PingOf(Messages().at(0)).cached_images;
   };
-  EXPECT_THAT(images_at(now), ElementsAre(mesh::CachedImages{"m0", {"web"}}));
-  EXPECT_THAT(images_at(now + kSecond), IsEmpty());
-  EXPECT_THAT(images_at(now + 2 * kSecond), ElementsAre(mesh::CachedImages{"m1", {"db"}}));
-  EXPECT_THAT(images_at(now + 4 * kSecond), ElementsAre(mesh::CachedImages{"m0", {"web"}}));
+  EXPECT_THAT(images_at(now_), ElementsAre(mesh::CachedImages{"m0", {"web"}}));
+  EXPECT_THAT(images_at(now_ + kSecond), IsEmpty());
+  EXPECT_THAT(images_at(now_ + 2 * kSecond), ElementsAre(mesh::CachedImages{"m1", {"db"}}));
+  EXPECT_THAT(images_at(now_ + 4 * kSecond), ElementsAre(mesh::CachedImages{"m0", {"web"}}));
 }
 
 TEST_F(HeartbeatTest, APingIsAnsweredWithItsNumber) {
-  cancellations.AddCommitted(8, "old");
-  cancellations.AddCommitted(9, "new");
+  cancellations_.AddCommitted(8, "old");
+  cancellations_.AddCommitted(9, "new");
   mesh::Ping ping;
   ping.seq = 42;
   ping.seen = 8;
-  heartbeats.OnPing(now, "b", ping);
+  heartbeats_.OnPing(now_, "b", ping);
   const std::vector<PeerMessage> messages = Messages();
   ASSERT_THAT(messages, SizeIs(1));
   EXPECT_EQ(messages[0].to, "b");
   const auto& pong = std::get<mesh::Pong>(messages[0].message);
   EXPECT_EQ(pong.seq, 42u);
   EXPECT_THAT(pong.cancels, ElementsAre("new"));
-  EXPECT_EQ(peers.At("b").last_heard, now);
+  EXPECT_EQ(peers_.At("b").last_heard, now_);
 }
 
 TEST_F(HeartbeatTest, APongProvesWhichCancellationsAreKnown) {
-  cancellations.ReplicaCompleteUpTo(now - 10 * kSecond);
-  heartbeats.Tick(now);
+  cancellations_.ReplicaCompleteUpTo(now_ - 10 * kSecond);
+  heartbeats_.Tick(now_);
   for (const PeerMessage& message : Messages()) {
     mesh::Pong pong;
     pong.seq = PingOf(message).seq;
     pong.seen = 3;
     pong.cancels = {"job"};
-    heartbeats.OnPong(now + kSecond, message.to, pong);
+    heartbeats_.OnPong(now_ + kSecond, message.to, pong);
   }
-  EXPECT_THAT(machines.cancelled, ElementsAre("job", "job"));
-  EXPECT_EQ(cancellations.KnownUpTo(now + kSecond), now);
+  EXPECT_THAT(machines_.cancelled, ElementsAre("job", "job"));
+  EXPECT_EQ(cancellations_.KnownUpTo(now_ + kSecond), now_);
 }
 
 TEST_F(HeartbeatTest, AMachineIsSilentUntilItsLeaderHearsItAgain) {
   mesh::Pong pong;
   pong.silent_machines = {{"m1", 5}, {"x", ~uint64_t{0}}, {"y", 6}};
-  heartbeats.OnPong(now, "b", pong);
-  EXPECT_THAT(machines.silences, ElementsAre(3600 * kSecond, 6));
+  heartbeats_.OnPong(now_, "b", pong);
+  EXPECT_THAT(machines_.silences, ElementsAre(3600 * kSecond, 6));
   pong.silent_machines = {{"y", 7}};
-  heartbeats.OnPong(now, "b", pong);
-  EXPECT_THAT(machines.back, ElementsAre("x"));
+  heartbeats_.OnPong(now_, "b", pong);
+  EXPECT_THAT(machines_.back, ElementsAre("x"));
 }
 
 TEST_F(HeartbeatTest, EpochsAreExchanged) {
@@ -618,10 +618,10 @@
   mesh::Pong pong;
   pong.epochs = {{1, 4, "b"}};
   pong.cached_images = {{"x", {"web"}}};
-  heartbeats.OnPong(now, "b", pong);
-  EXPECT_THAT(machines.cached_images, ElementsAre("x"));
-  EXPECT_THAT(peers.At("b").led_shards, ElementsAre(1));
-  heartbeats.Tick(now);
+  heartbeats_.OnPong(now_, "b", pong);
+  EXPECT_THAT(machines_.cached_images, ElementsAre("x"));
+  EXPECT_THAT(peers_.At("b").led_shards, ElementsAre(1));
+  heartbeats_.Tick(now_);
   EXPECT_THAT(PingOf(Messages().at(0)).epochs,
               ElementsAre(mesh::ShardEpoch{0, 5, "a"}, mesh::ShardEpoch{1, 4, "b"}));
 }
