--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/result.h"
-#include "wire/pack.h"
+#include "wire/json_fwd.h"
 #include "wire/types.h"
 
 namespace troutlink::wire {
--- a/tests/leadership_units_test.cc
+++ b/tests/leadership_units_test.cc
@@ -16,6 +16,7 @@
 #include "core/leadership/readiness.h"
 #include "core/leadership/session_lease_keeper.h"
 #include "wire/messages.h"
+#include "wire/pack.h"
 
 namespace troutlink {
 namespace {
