--- a/src/core/api/job_directory.h
+++ b/src/core/api/job_directory.h
@@ -25,7 +25,7 @@
   // Null when the replica does not hold the job. Valid until the replica changes.
   virtual const JobEntry* FindJob(const std::string& id) const = 0;
   // What is known of the job from all sources: the replica, peers and the jobs before it.
-  virtual JobFate FateOf(const std::string& id) const = 0;
+  virtual KnownJobState StateOf(const std::string& id) const = 0;
   // Whether a job that this one depends on is known to be cancelled.
   virtual bool HasCancelledDependency(const JobSpec& spec) const = 0;
   // Of an open job.
--- a/src/core/api/job_queries.cc
+++ b/src/core/api/job_queries.cc
@@ -113,7 +113,7 @@
     AnswerFinished(request, *entry);
     return;
   }
-  const OpenAnswerFacts facts{jobs_->FateOf(request.job_id),
+  const OpenAnswerFacts facts{jobs_->StateOf(request.job_id),
                               !entry->record.spec.dependencies.empty(), status_->ReplicaAge(now),
                               max_replica_age_};
   const Result<OpenAnswerPermit, Refusal> judged = facts.Judge();
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -8,6 +8,7 @@
 #include "base/ids.h"
 #include "core/api/http_status.h"
 #include "core/api/retry_after.h"
+#include "core/leadership/readiness.h"
 #include "core/user_api_view.h"
 
 namespace troutlink {
@@ -36,31 +37,39 @@
       boot_(boot),
       started_(now),
       wall_offset_(wall - now),
-      shards_(static_cast<size_t>(settings.shard_count())),
-      session_lease_(FromSeconds(settings.op.claim_life_s())),
+      jobs_(&cancellations_, this),
+      cluster_version_(settings_),
+      replica_(settings.shard_count(), &jobs_, &cluster_version_, &effects_, this),
+      sync_(settings_, boot,
+            {&replica_, &jobs_, &cluster_version_, &effects_, &node_health_, &state_budget_,
+             &write_budget_, this}),
+      node_health_(now),
       cancellations_(settings.cancel, settings.lease),
+      election_({settings.label, settings.labels, settings.own_shard, boot, now, settings.cancel,
+                 FromSeconds(settings.op.hand_back_after_s())},
+                {&effects_, &write_budget_, &session_lease_, &node_health_, this, this}),
+      session_lease_(FromSeconds(settings.op.claim_life_s()), &effects_, &node_health_, &election_),
+      heartbeats_(FirstMessageId(boot),
+                  {&effects_, &peers_, &election_, &cancellations_, &node_health_, this, this}),
       user_api_view_(std::make_unique<UserApiView>(*this)),
       user_api_(&settings_, kForwardIds | FirstMessageId(boot),
                 {&effects_, &write_budget_, &state_budget_}, user_api_view_.get(),
                 user_api_view_.get(), user_api_view_.get(), user_api_view_.get()),
       health_(static_cast<int>(settings.op.machine_failures()),
               static_cast<int>(settings.op.job_failures())) {
-  const uint64_t base = FirstMessageId(boot_);
-  next_relay_ = base;
-  ping_seq_ = base;
+  next_relay_ = FirstMessageId(boot_);
+  shards_.reserve(static_cast<size_t>(settings_.shard_count()));
+  for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
+    shards_.emplace_back(replica_.records(shard_id), election_.Of(shard_id));
+  }
   for (const Sibling& sibling : settings_.siblings) {
-    peers_[sibling.label].label = sibling.label;
+    peers_.Add(sibling.label);
     cancellations_.AddPeer(sibling.label);
   }
 }
 
 Core::~Core() = default;
 
-const JobEntry* Core::FindJob(const std::string& id) const {
-  auto it = jobs_.find(id);
-  return it == jobs_.end() ? nullptr : &it->second;
-}
-
 const Team* Core::FindTeam(const std::string& name) const {
   for (const Team& team : settings_.teams) {
     if (team.name == name) return &team;
@@ -71,7 +80,7 @@
 // What every input may have made possible.
 void Core::After(Micros now) {
   user_api_.CheckQueued(now);
-  if (feed_.synced()) RunRounds(now);
+  if (sync_.feed().synced()) RunRounds(now);
 }
 
 Outbox Core::HandleRequest(Micros now, const Request& request) {
@@ -89,7 +98,7 @@
     if (only("POST")) OnReport(now, {request.id, "", 0}, request.body);
   } else if (target == wire::kUpPath) {
     if (only("GET")) {
-      if (Up(now)) {
+      if (IsReady(now, sync_.feed().synced(), node_health_, peers_)) {
         reply(http_status::kOk, "");
       } else {
         reply(http_status::kServiceUnavailable, wire::EncodeError("not ready"), kRetryAfter);
@@ -121,12 +130,11 @@
 }
 
 Outbox Core::HandlePeer(Micros now, const std::string& from, const mesh::Message& message) {
-  if (peers_.count(from) == 0) return effects_.TakeOutbox();
+  if (peers_.Find(from) == nullptr) return effects_.TakeOutbox();
   if (const auto* ping = std::get_if<mesh::Ping>(&message)) {
-    HandlePing(now, from, *ping);
+    heartbeats_.OnPing(now, from, *ping);
   } else if (const auto* pong = std::get_if<mesh::Pong>(&message)) {
-    HandleHeartbeat(now, from, *pong);
-    cancellations_.PongReceived(from, *pong);
+    heartbeats_.OnPong(now, from, *pong);
   } else if (const auto* relay = std::get_if<mesh::Relay>(&message)) {
     OnReport(now, {0, from, relay->id}, relay->body);
   } else if (const auto* relay_reply = std::get_if<mesh::RelayReply>(&message)) {
@@ -143,40 +151,34 @@
 // The limits of the state service and the cloud are shared by shards: who works for a
 // node that is away also has its share.
 void Core::ShareLimits(Micros now) {
-  const auto owned = std::count_if(shards_.begin(), shards_.end(),
-                                   [](const Shard& shard) { return shard.leadership.is_leader; });
-  const double share = kShareOfLimits * static_cast<double>(std::max<std::ptrdiff_t>(1, owned)) /
-                       settings_.shard_count();
-  write_budget_.SetRate(now, Limits().write_rps * share);
+  const int owned = std::max(1, election_.LedShards());
+  const double share = kShareOfLimits * static_cast<double>(owned) / settings_.shard_count();
+  write_budget_.SetRate(now, cluster_version_.limits().write_rps * share);
   state_budget_.SetRate(now, settings_.state_rps * share);
   cloud_budget_.SetRate(now, settings_.cloud_rps * share);
 }
 
 Outbox Core::Tick(Micros now, Micros wall) {
   wall_offset_ = wall - now;
-  if (StoodStill(now)) {
-    // We stood still: that nothing was heard meanwhile says nothing of the machines.
-    effects_.Log(LogLine::Level::kInfo,
-                 "stood still for " + std::to_string((now - now_) / kMilli) + " ms");
+  if (node_health_.ProcessPaused(now)) {
+    // That nothing was heard during the pause says nothing of the machines.
+    effects_.Log(
+        LogLine::Level::kInfo,
+        "stood still for " + std::to_string((now - node_health_.last_tick()) / kMilli) + " ms");
     for (auto& [name, info] : machines_) {
       if (info.since != 0) info.since = now;
     }
-    unwell_at_ = now;
-  }
-  if (!StateFresh(now)) unwell_at_ = now;
-  switch (feed_.Due(now)) {
-    case ReplicaFeed::Step::kList: StartList(now); break;
-    case ReplicaFeed::Step::kWatch: StartWatch(now); break;
-    case ReplicaFeed::Step::kWait: break;
   }
-  if (now >= next_heartbeat_) Heartbeat(now);
-  PublishVersion(now);
-  RunLease(now);
-  if (feed_.synced()) RunElections(now);
+  node_health_.BeginTick(now);
+  sync_.Run(now);
+  heartbeats_.Tick(now);
+  sync_.PublishVersion(now);
+  session_lease_.Tick(now);
+  if (sync_.feed().synced()) election_.Tick(now);
   ShareLimits(now);
   RunCloud(now);
   EndStaleRelays(now);
-  now_ = now;
+  node_health_.EndTick(now);
   effects_.set_last_tick(now);
   user_api_.Tick(now);
   After(now);
@@ -225,7 +227,7 @@
   put("adopted_total", c.adopted);
   put("elections_total", c.elections);
   put("lost_leaderships_total", c.lost_leaderships);
-  put("handed_back_total", c.handed_back);
+  put("handed_back_total", c.failbacks);
   put("unresponsive_total", c.unresponsive);
   put("tails_total", c.tails);
   put("helpers_total", c.helpers);
@@ -236,22 +238,20 @@
   put("renewed_as_former_leader_total", c.renewed_as_former_leader);
   put("replica_lists_total", c.lists);
   put("replica_watches_total", c.watches);
-  put("replica_revision", feed_.revision());
-  put("replica_age_ms", static_cast<uint64_t>((now - feed_.complete_up_to()) / kMilli));
+  put("replica_revision", sync_.feed().revision());
+  put("replica_age_ms", static_cast<uint64_t>((now - sync_.feed().complete_up_to()) / kMilli));
   const Micros bound = cancellations_.RenewalBound(now);
   put("renewal_bound_ms", static_cast<uint64_t>(std::max<Micros>(0, bound - now) / kMilli));
   put("cancellations_total", c.cancellations);
-  put("told_cancellations_total", c.told_cancellations);
+  put("told_cancellations_total", c.reported_cancellations);
   put("kept_from_forwarding_total", api.kept_from_forwarding);
-  put("orphans_total", c.orphans);
+  put("orphans_total", c.cascade_cancelled);
   put("refused_by_limits_total", c.refused_by_limits);
-  put("cluster_version", all_nodes_current_ ? kStoredFormVersion : kStoredFormVersion - 1);
-  put("state_value_bytes", static_cast<uint64_t>(Limits().value_bytes));
-  put("state_transaction_changes", static_cast<uint64_t>(Limits().txn_ops));
-  put("blocked_jobs", static_cast<uint64_t>(std::count_if(
-                          open_jobs_.begin(), open_jobs_.end(),
-                          [this](const std::string& id) { return jobs_.at(id).blocked; })));
-  put("jobs", jobs_.size());
+  put("cluster_version", cluster_version_.number());
+  put("state_value_bytes", static_cast<uint64_t>(cluster_version_.limits().value_bytes));
+  put("state_transaction_changes", static_cast<uint64_t>(cluster_version_.limits().txn_ops));
+  put("blocked_jobs", jobs_.CountBlocked());
+  put("jobs", jobs_.jobs().size());
   put("attempts", attempts_.size());
   put("machines", machines_.size());
   return out + PermitMetrics();
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -21,13 +21,26 @@
 #include "core/io/io.h"
 #include "core/io/token_bucket.h"
 #include "core/leadership/cancellations.h"
+#include "core/leadership/heartbeat_exchange.h"
+#include "core/leadership/leader_election.h"
+#include "core/leadership/leadership_observer.h"
+#include "core/leadership/leadership_store.h"
+#include "core/leadership/machine_status_source.h"
+#include "core/leadership/node_health.h"
+#include "core/leadership/peer_report_listener.h"
+#include "core/leadership/peer_table.h"
 #include "core/leadership/permits.h"
-#include "core/leadership/session_lease.h"
+#include "core/leadership/session_lease_keeper.h"
+#include "core/leadership/shard_leadership.h"
 #include "core/scheduler/placement.h"
-#include "core/store/dependencies.h"
+#include "core/store/cluster_version.h"
 #include "core/store/job_entry.h"
+#include "core/store/job_table.h"
 #include "core/store/records.h"
-#include "core/store/replica_feed.h"
+#include "core/store/replica.h"
+#include "core/store/replica_observer.h"
+#include "core/store/replica_sync.h"
+#include "core/store/shard_records.h"
 #include "wire/messages.h"
 
 namespace troutlink {
@@ -35,22 +48,26 @@
 struct Counters {
   uint64_t reports = 0, redirects = 0, relays = 0, renewed_on_behalf = 0;
   uint64_t renewed = 0, renewed_as_former_leader = 0;
-  uint64_t lists = 0, watches = 0;                     // of the state service, that were answered
-  uint64_t cancellations = 0, told_cancellations = 0;  // in the replica, by peers before it
+  uint64_t lists = 0, watches = 0;  // of the state service, that were answered
+  uint64_t cancellations = 0, reported_cancellations = 0;  // in the replica, by peers before it
   uint64_t rounds = 0, oversized = 0;
   uint64_t commits = 0, commit_conflicts = 0, commit_unknown = 0, puts = 0;
   uint64_t worker_unknown = 0;
   uint64_t starts = 0, stops = 0, gone = 0, acquired_machines = 0, share_moves = 0, job_moves = 0,
            consolidated = 0;
   uint64_t rented_machines = 0, refused_rentals = 0, returned = 0, adopted = 0;
-  uint64_t elections = 0, lost_leaderships = 0, handed_back = 0;
+  uint64_t elections = 0, lost_leaderships = 0, failbacks = 0;
   uint64_t unresponsive = 0;
-  uint64_t orphans = 0;            // jobs that a cancellation of another one cancels
+  uint64_t cascade_cancelled = 0;  // jobs cancelled because one that they depend on was
   uint64_t refused_by_limits = 0;  // 400s of the state service
   uint64_t tails = 0, helpers = 0, overdue = 0, preempted = 0, fencing_raises = 0;
 };
 
-class Core {
+class Core : private LeadershipStore,
+             private LeadershipObserver,
+             private MachineStatusSource,
+             private PeerReportListener,
+             private ReplicaObserver {
  public:
   // `boot` differs at every start of the process.
   Core(const Settings& settings, uint64_t boot, Micros now, Micros wall);
@@ -68,12 +85,10 @@
   const ApiCounters& api_counters() const { return user_api_.counters(); }
   const Effects::CallCounts& call_counts() const { return effects_.call_counts(); }
   // For operators and tests.
-  bool IsLeader(int shard_id) const {
-    return shards_[static_cast<size_t>(shard_id)].leadership.is_leader;
-  }
-  bool Synced() const { return feed_.synced(); }
+  bool IsLeader(int shard_id) const { return election_.IsLeader(shard_id); }
+  bool Synced() const override { return sync_.feed().synced(); }
   const AssignmentTable& AssignmentsOf(int shard_id) const {
-    return shards_[static_cast<size_t>(shard_id)].replica.assignments;
+    return replica_.records(shard_id).assignments;
   }
   std::string MetricsText(Micros now) const;
   // Actions that must never have come up for decision, and were not carried out.
@@ -85,12 +100,6 @@
   struct AttemptInfo;
   struct MachineInfo;
 
-  // --- replica (replica.cc): what the state service holds, as last heard -----------
-  struct Chunk {
-    uint64_t version = 0;
-    std::vector<std::string> names;  // of its machines
-    size_t bytes = 0;
-  };
   // What a shard's attempts use, counted once for each change of its assignment table.
   struct Use {
     std::map<std::string, Share> teams;
@@ -110,42 +119,17 @@
     MachineInfo* info = nullptr;
     std::vector<Slot> slots;
   };
-  // What the replica holds of one shard.
-  struct ShardReplica {
-    uint64_t leadership_version = 0;  // 0: nobody holds it
-    Leadership leadership_record;
-    std::map<int, Chunk> chunks;  // of the table's form
-    // Of a table in the compact form: what is left of the original one, which does not change
-    // any more.
-    std::map<int, Chunk> original_chunks;
-    std::map<std::string, AssignedMachine> original_machines;
-    AssignmentTable assignments;
-    std::unordered_map<std::string, int> chunk_of;  // of its machines, as stored
-    Use use;
-    std::vector<MachineUse> machine_use;
+  // What the attempts of one shard use, counted anew when its assignment table changes.
+  struct ShardUsage {
+    Use total;
+    std::vector<MachineUse> machines;  // of the table, by name
     size_t attempts = 0;
     bool any_leaving = false;
-    bool sync_due = false;                       // the assignment table changed
-    std::map<int, uint64_t> progress_versions;   // by page
-    std::map<int, std::string> progress_values;  // as stored
-    Progress progress;                           // of open jobs, of all pages
-    Micros changed_at = 0;                       // last change of the assignment table
   };
-  // Who leads one shard, as far as this node knows.
-  struct ShardLeadership {
-    bool is_leader = false;
-    uint64_t epoch = 0;        // kept after a loss, to go on answering reports
-    uint64_t rival_epoch = 0;  // highest epoch of another node that we know of
-    std::string rival_leader;
-    std::string previous_leader;  // of the leadership records that we saw, other than ours
-    Micros leaderless_since = 0;
-    Micros elected_at = 0;
-    Micros heard_few_at = 0;  // most machines were silent at once then; 0: never
-    int silent = 0;           // machines that were up and are missed
-    Micros no_election_before = 0;
-    int election_conflicts = 0;  // in a row
-    bool acquiring = false;
-    bool releasing = false;
+  // The failure detector's view of a shard's machines as a whole.
+  struct MachineSilence {
+    Micros most_silent_at = 0;  // most machines were silent at once then; 0: never
+    int silent = 0;             // machines that were up and are missed
   };
   // The scheduling cycles of one shard that this node leads.
   struct CycleState {
@@ -176,123 +160,75 @@
     Micros peak_at = 0;
   };
   struct Shard {
-    ShardReplica replica;
-    ShardLeadership leadership;
+    Shard(const ShardRecords& records, const ShardLeadership& leadership)
+        : replica(records), leadership(leadership) {}
+    const ShardRecords& replica;  // kept by replica_
+    ShardUsage usage;
+    const ShardLeadership& leadership;  // kept by election_
+    MachineSilence silence;
     CycleState cycle;
   };
 
-  // Reads everything, page by page, and then begins to watch.
-  void StartList(Micros now);
-  void ReadListPage(const std::string& after);
-  void OnListPage(Micros now, int status, const std::string& body);
-  void FinishList(Micros now);
-  // What was deleted while no watch could tell.
-  void EraseUnlisted(Micros now);
-  void StartWatch(Micros now);
-  void OnWatchAnswered(Micros now, Micros sent, int status, const std::string& body);
-  // A record as the state service holds it: by a list, a watch or our own commit. One that
-  // is not newer than the replica's changes nothing. ReindexShards follows a batch of them.
-  void ApplyPut(Micros now, const std::string& name, const std::string& value, uint64_t version);
-  void ApplyErase(Micros now, const std::string& name, uint64_t version);
-  void ApplyJob(Micros now, const std::string& id, const std::string& value, uint64_t version);
-  void ApplyOpenJob(const std::string& id, const JobEntry& entry);
-  void ApplyFinishedJob(Micros now, const std::string& id, JobEntry* entry);
-  void ApplyLeadership(Micros now, int shard_id, const std::string& value, uint64_t version);
-  void ApplyProgress(int shard_id, int page, const std::string& value, uint64_t version);
-  void ApplyTypes(const std::string& value);
-  void ApplyChunk(Micros now, const Key& key, const std::string& value, uint64_t version);
-  void ApplyHeader(Micros now, int shard_id, AssignmentTable header);
-  // The first value of the compact form of a table was read.
-  static void BeginCompactForm(Shard* shard);
-  void ApplyOriginalChunk(Micros now, const Key& key, const std::string& value, uint64_t version);
-  // Machines of the original form that the compact form has by now, or no longer has at all.
-  void DropMigratedMachines(Micros now, int shard_id);
-  // The machine is no longer in the shard's assignment table, or is there as given.
-  void RemoveMachine(Micros now, int shard_id, const std::string& name);
-  void PutMachine(Micros now, int shard_id, AssignedMachine machine);
-  void ReindexShards(Micros now);
+  // --- replica (replica_events.cc): what its changes mean for everything else ------
+  void OnJobOpen(const std::string& id, const JobEntry& entry) override;
+  void OnJobFinished(Micros now, const std::string& id, const JobEntry& entry) override;
+  void OnJobUnblocked(const std::string& id, const JobEntry& entry) override;
+  void OnUrgencyUpdated(const std::string& id, const JobEntry& entry) override;
+  void OnCascadeCancelled(const std::string& id, size_t count) override;
+  void OnMachineAssigned(Micros now, int shard_id, const AssignedMachine& machine) override;
+  void OnMachineUnassigned(Micros now, const std::string& machine) override;
+  void OnTableChanged(Micros now, int shard_id) override;
+  void OnLeadershipRecord(Micros now, int shard_id, const Leadership& leadership,
+                          uint64_t revision) override;
+  void OnLeadershipErased(Micros now, int shard_id, uint64_t revision) override;
+  void OnMachineTypes(const std::string& value) override;
+  void OnCaughtUp(Source source, Micros complete_up_to) override;
+  void OnStateWriteSent() override;
+  ShardUsage UsageOf(const AssignmentTable& table) const;
   MachineUse CountUse(const AssignedMachine& machine) const;
   // Whether there is such a shard, and this node leads it.
   bool LeadsShard(int shard_id) const;
-  static void DropFinishedSpec(JobEntry* entry);
-  int ShardOfMachine(const std::string& name) const;
+  void LogCancellation(Micros now, const std::string& id, std::string_view source);
 
   Shard& ShardAt(int shard_id) { return shards_[static_cast<size_t>(shard_id)]; }
   const Shard& ShardAt(int shard_id) const { return shards_[static_cast<size_t>(shard_id)]; }
 
-  // --- cluster version (cluster_version.cc) ----------------------------------------
-  struct NodeVersion {
-    uint64_t version = 1;
-    uint64_t revision = 0;
-  };
-  void PublishVersion(Micros now);
-  bool HoldsEarlierLeadership() const;
-  void ApplyNodeVersion(const std::string& label, const std::string& value, uint64_t revision);
-  const StateLimits& Limits() const;
-
-  // --- pipelines (pipelines.cc): jobs that depend on others ------------------------
-  void NoteOpenJob(const std::string& id);
-  void NoteFinishedJob(const std::string& id);
-  bool HasCancelledDependency(const JobSpec& spec) const;
-  // The job and all that depend on it are cancelled with a job that they depend on; their
-  // records are not yet.
-  void AddOrphan(const std::string& id);
-  void CheckDependencies(const std::string& id);
-  Urgency OwnUrgency(const JobEntry& entry) const;
-  static Micros StageTime(const JobSpec& spec);
-  void ApplyInheritedUrgency(const std::string& id);
-
-  // --- heartbeats (heartbeats.cc): what controllers tell each other ----------------
-  void Heartbeat(Micros now);
-  // `seen`: the receiver's replica holds all up to this revision.
-  mesh::Heartbeat MakeHeartbeat(Micros now, uint64_t seen) const;
-  void TellEpochs(mesh::Heartbeat* heartbeat) const;
-  void TellSilentMachines(Micros now, mesh::Heartbeat* heartbeat) const;
-  std::vector<mesh::CachedImages> NextCachedImages();
+  // --- heartbeats (agents/peer_reports.cc): the core's side of MachineStatusSource and of
+  // PeerReportListener --------------------------------------------------------------
+  uint64_t ReplicaRevision() const override { return sync_.feed().revision(); }
+  std::vector<mesh::SilentMachine> SilentMachines(Micros now, size_t limit) const override;
+  CachedImagesPage CachedImagesFrom(const MachineCursor& from, size_t limit) const override;
   std::vector<std::string> CachedServiceImages(const std::string& machine) const;
-  // Another leads our own shard, and we have been well for long enough to lead it ourselves.
-  bool WantsOwnShard(Micros now) const;
-  void HandlePing(Micros now, const std::string& from, const mesh::Ping& ping);
-  void HandleHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
-  void LearnEpochs(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
-  // A peer tells that the job is cancelled.
-  void LearnCancellation(Micros now, const std::string& id);
+  void OnCancellationReported(Micros now, const std::string& id) override;
+  void OnCachedImagesReported(Micros now, const mesh::CachedImages& cached) override;
+  bool OnMachineSilent(Micros now, const std::string& machine, Micros silent) override;
+  void OnMachineHeardAgain(const std::string& machine) override;
   // Whether the machine is in the assignment table of a shard that is not ours.
   bool LedByAnother(const std::string& machine) const;
-  void LearnCachedImages(Micros now, const mesh::Heartbeat& heartbeat);
-  void LearnSilentMachines(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
 
-  // --- leadership (leadership.cc) ----------------------------------------------
-  void RunLease(Micros now);
-  void GrantLease();
-  void RenewLease();
-  void RunElections(Micros now);
-  // The shard has a leadership record: it may be ours and unknown to this process.
-  void ReclaimLeadership(Micros now, int shard_id);
-  // How long a shard must have been without a leader before we take it: the next in the
-  // ring goes first.
-  Micros ElectionDelay(Micros now, int shard_id) const;
-  void AcquireLeadership(Micros now, int shard_id);
-  StateTxn ElectionTxn(int shard_id) const;
-  // Our own shard's leadership record is newer than we know, or has to be renewed with another
-  // form of its table.
-  void CheckOwnLeadership(Micros now, int shard_id);
-  void OnElectionFailed(Micros now, Shard* shard, bool conflict);
-  void OnElected(Micros now, int shard_id, uint64_t revision);
+  // --- leadership: the core's side of LeadershipStore (leadership_store.cc) and of
+  // LeadershipObserver (agents/takeover.cc) ------------------------------------------
+  uint64_t LeadershipVersion(int shard_id) const override {
+    return ShardAt(shard_id).replica.leadership_version;
+  }
+  const Leadership& LeadershipRecord(int shard_id) const override {
+    return ShardAt(shard_id).replica.leadership_record;
+  }
+  bool NeedsTableMigration(int shard_id) const override;
+  void AddElectionTerms(int shard_id, StateTxn* txn) const override;
+  bool CommitInFlight(int shard_id) const override { return ShardAt(shard_id).cycle.committing; }
+  bool ManyMachinesSilent(int shard_id) const override;
+  void ApplyCommitted(Micros now, const std::vector<StateWrite>& writes,
+                      uint64_t revision) override;
+  void RequestList() override { sync_.RequestList(); }
+  void OnElected(Micros now, int shard_id) override;
+  void OnEpochFell(int shard_id, uint64_t epoch, uint64_t revision) override;
+  void OnLeadershipLost(Micros now, int shard_id, LossReason reason) override;
+  void OnWritesSent(size_t writes) override { counters_.puts += writes; }
   void ForgetDecisions(int shard_id);
   // What a new leader assumes of the machines of its shard.
   void InheritMachines(Micros now, int shard_id);
   static void InheritMachine(uint64_t epoch, const AssignedMachine& machine, MachineInfo* info);
-  void LoseLeadership(Micros now, int shard_id, const char* why);
-  void LoseAllLeaderships(Micros now, const char* why);
-  void HandBack(Micros now, int shard_id);
-  std::string LeaderLabel(int shard_id) const;
-  bool StateFresh(Micros now) const { return now - state_ok_ < 1500 * kMilli; }
-  // Whether this process has just stood still, and has not ticked since. What had arrived for
-  // it meanwhile may be handled before that tick.
-  bool StoodStill(Micros now) const { return now_ != 0 && now - now_ > kStoodStill; }
-  static constexpr Micros kStoodStill = 3 * kSecond;
-  bool Up(Micros now) const;
 
   // --- workers (reports.cc, worker_state.cc, commands.cc) ---------------------------
   struct AttemptInfo {
@@ -454,11 +390,8 @@
   void StopAttempt(Micros now, const Attempt& attempt, AttemptInfo* info, Micros grace);
   void StopJob(Micros now, const std::string& job);
 
-  // --- what is known of a job, and permits (job_fate.cc) ---------------------------
-  JobFate FateOf(const std::string& id) const;
-  bool JobOver(const std::string& id) const;  // cancelled or done
+  // --- permits (permit_checks.cc) --------------------------------------------------
   void NoteViolation(Violation violation, const std::string& known);
-  void LogCancellation(Micros now, const std::string& id, std::string_view source);
   // Whether the replica of the shard's table holds the attempt on that machine.
   bool IsAssigned(int shard_id, const std::string& machine, const Attempt& attempt) const;
   std::optional<StartPermit> JudgeStart(Micros now, int shard_id, const std::string& machine,
@@ -585,7 +518,7 @@
                    bool progress = false);
   // job_records.cc: changes of job records and progress that need no change of the table.
   bool CommitJobRecords(Micros now, int shard_id);
-  void WriteOrphans(int shard_id, StateTxn* txn) const;
+  void WriteCascadeCancelled(int shard_id, StateTxn* txn) const;
   void WriteDoneRecords(Micros now, int shard_id, StateTxn* txn) const;
   bool WriteProgressPages(Micros now, int shard_id, StateTxn* txn);
   Progress ProgressOf(int shard_id) const;
@@ -664,7 +597,7 @@
   void JudgeMachines(Micros now, int shard_id);
   struct SilenceOfShard {
     bool hears_nobody = false;
-    bool heard_few_lately = false;  // most machines were silent within the last lease
+    bool most_silent_lately = false;  // most machines were silent within the last lease
     std::set<std::string> zones_cut_off;
   };
   SilenceOfShard JudgeSilence(Micros now, int shard_id);
@@ -687,7 +620,6 @@
   // --- plumbing (core.cc) --------------------------------------------------------------
   void ShareLimits(Micros now);
   void After(Micros now);
-  const JobEntry* FindJob(const std::string& id) const;
   const Team* FindTeam(const std::string& name) const;
   Micros WallNow(Micros now) const { return now + wall_offset_; }
 
@@ -706,47 +638,19 @@
   Tally<Violation, kViolations> violations_;
 
   // Replica.
-  ReplicaFeed feed_;
-  struct ListItem {
-    std::string value;
-    uint64_t version = 0;
-  };
-  std::map<std::string, ListItem> list_items_;
-  Micros state_ok_ = 0;  // last answer of the state service
-  std::unordered_map<std::string, JobEntry> jobs_;
-  std::set<std::string> open_jobs_;
-  std::map<std::string, NodeVersion> node_versions_;  // by label
-  bool all_nodes_current_ = false;                    // every node has our version; for good
-  bool publishing_version_ = false;
-  Micros publish_version_after_ = 0;
-  DependencyGraph dependencies_;
-  std::set<std::string> orphans_;  // open jobs that depend on a cancelled one
-  bool spread_seen_ = false;       // some service spreads over zones
-  std::set<std::string> service_images_;
-  std::set<std::string> service_teams_;  // that ever had a service
+  JobTable jobs_;
+  ClusterVersion cluster_version_;
+  Replica replica_;
+  ReplicaSync sync_;
   std::vector<Shard> shards_;
-  std::map<std::string, int> machine_shard_;
 
   // Leadership.
-  SessionLease session_lease_;
-  struct Peer {
-    std::string label;
-    Micros heard = 0;                       // last message
-    uint64_t seen = 0;                      // its replica holds all up to this revision
-    Micros state_age = 0;                   // at `heard`
-    std::set<uint64_t> holds;               // shards that it says are its own
-    std::set<std::string> silent_machines;  // machines that it missed when it last spoke
-  };
-  std::map<std::string, Peer> peers_;
-  Micros now_ = 0;  // of the last tick
-  // The last time without the state service, also by standing still. A node that froze twice
-  // had its shard back within half a second each time: four changes of leader for two.
-  Micros unwell_at_ = 0;
-  uint64_t ping_seq_;
-  Micros next_heartbeat_ = 0;
-  Micros next_cached_images_ = 0;
-  std::pair<size_t, std::string> cached_images_from_;  // shard and machine of the next part
+  NodeHealth node_health_;
+  PeerTable peers_;
   CancellationLog cancellations_;
+  LeaderElection election_;
+  SessionLeaseKeeper session_lease_;
+  HeartbeatExchange heartbeats_;
 
   // Users' API.
   class UserApiView;  // implements what the module asks of a controller
--- a/src/core/store/job_entry.h
+++ b/src/core/store/job_entry.h
@@ -1,4 +1,4 @@
-// What the replica holds of one job.
+// One job as a controller's replica holds it.
 #ifndef TROUTLINK_CORE_STORE_JOB_ENTRY_H_
 #define TROUTLINK_CORE_STORE_JOB_ENTRY_H_
 
@@ -10,11 +10,13 @@
 
 namespace troutlink {
 
+// A job's record with the revision that it was read at, and what follows from the jobs that it
+// depends on and those that depend on it. Kept by JobTable; a plain value for everybody else.
 struct JobEntry {
   // The specification is dropped once the job is over. Its priority is the one that the job
   // is served with: its own or that of a job that depends on it.
   JobRecord record;
-  uint64_t version = 0;
+  uint64_t version = 0;  // revision of the state service
   Priority own_priority = Priority::kLow;
   bool blocked = false;  // waits for a job that it depends on
   Micros ready_at = 0;   // time of day from which it may start, once it is not blocked
--- a/src/core/user_api_view.cc
+++ b/src/core/user_api_view.cc
@@ -9,13 +9,15 @@
 }  // namespace
 
 const JobEntry* Core::UserApiView::FindJob(const std::string& id) const {
-  return core_.FindJob(id);
+  return core_.jobs_.Find(id);
 }
 
-JobFate Core::UserApiView::FateOf(const std::string& id) const { return core_.FateOf(id); }
+KnownJobState Core::UserApiView::StateOf(const std::string& id) const {
+  return core_.jobs_.StateOf(id);
+}
 
 bool Core::UserApiView::HasCancelledDependency(const JobSpec& spec) const {
-  return core_.HasCancelledDependency(spec);
+  return core_.jobs_.HasCancelledDependency(spec);
 }
 
 bool Core::UserApiView::IsShard(int shard_id) const {
@@ -29,40 +31,42 @@
     counts.done = run->second.done;
     counts.running = run->second.placed;
   } else if (IsShard(record.shard_id)) {
-    const ShardReplica& replica = core_.ShardAt(record.shard_id).replica;
-    auto progress = replica.progress.find(id);
-    if (progress != replica.progress.end()) {
+    const Shard& shard = core_.ShardAt(record.shard_id);
+    auto progress = shard.replica.progress.find(id);
+    if (progress != shard.replica.progress.end()) {
       counts.done = static_cast<int64_t>(progress->second.size());
     }
-    auto placed = replica.use.jobs.find(id);
-    if (placed != replica.use.jobs.end()) counts.running = placed->second;
+    auto placed = shard.usage.total.jobs.find(id);
+    if (placed != shard.usage.total.jobs.end()) counts.running = placed->second;
   }
   return counts;
 }
 
 void Core::UserApiView::ApplyPut(Micros now, const std::string& key, const std::string& value,
                                  uint64_t version) {
-  core_.ApplyPut(now, key, value, version);
+  core_.replica_.ApplyPut(now, key, value, version);
 }
 
-bool Core::UserApiView::ReplicaSynced() const { return core_.feed_.synced(); }
+bool Core::UserApiView::ReplicaSynced() const { return core_.sync_.feed().synced(); }
 
 Micros Core::UserApiView::ReplicaAge(Micros now) const {
-  return now - core_.feed_.complete_up_to();
+  return now - core_.sync_.feed().complete_up_to();
 }
 
-bool Core::UserApiView::StateFresh(Micros now) const { return core_.StateFresh(now); }
+bool Core::UserApiView::StateFresh(Micros now) const { return core_.node_health_.StateFresh(now); }
 
-void Core::UserApiView::NoteStateAnswer(Micros now) { core_.state_ok_ = now; }
+void Core::UserApiView::NoteStateAnswer(Micros now) { core_.node_health_.NoteStateAnswer(now); }
 
-const StateLimits& Core::UserApiView::Limits() const { return core_.Limits(); }
+const StateLimits& Core::UserApiView::Limits() const { return core_.cluster_version_.limits(); }
 
-bool Core::UserApiView::AllNodesCurrent() const { return core_.all_nodes_current_; }
+bool Core::UserApiView::AllNodesCurrent() const { return core_.cluster_version_.all_current(); }
 
 std::string Core::UserApiView::FreshPeer(Micros now) const {
   const Peer* best = nullptr;
-  for (const auto& [label, peer] : core_.peers_) {
-    if (peer.heard == 0 || now - peer.heard > kPeerFresh || peer.state_age > kPeerFresh) continue;
+  for (const auto& [label, peer] : core_.peers_.peers()) {
+    if (peer.last_heard == 0 || now - peer.last_heard > kPeerFresh || peer.state_age > kPeerFresh) {
+      continue;
+    }
     if (best == nullptr || peer.state_age < best->state_age) best = &peer;
   }
   return best == nullptr ? "" : best->label;
@@ -73,24 +77,24 @@
 Micros Core::UserApiView::WallNow(Micros now) const { return core_.WallNow(now); }
 
 void Core::UserApiView::LearnCancellation(Micros now, const std::string& job_id) {
-  core_.LearnCancellation(now, job_id);
+  core_.OnCancellationReported(now, job_id);
 }
 
-void Core::UserApiView::HastenHeartbeat(Micros now) { core_.next_heartbeat_ = now; }
+void Core::UserApiView::HastenHeartbeat(Micros now) { core_.heartbeats_.SendSoon(now); }
 
 int Core::UserApiView::ShardCount() const { return core_.settings_.shard_count(); }
 
-Micros Core::UserApiView::LastTick() const { return core_.now_; }
+Micros Core::UserApiView::LastTick() const { return core_.node_health_.last_tick(); }
 
 void Core::UserApiView::VisitMachines(int shard_id, const MachineVisitor& visit) const {
-  for (const MachineUse& use : core_.ShardAt(shard_id).replica.machine_use) {
+  for (const MachineUse& use : core_.ShardAt(shard_id).usage.machines) {
     visit({*use.machine, core_.TypeOf(use.machine->type), use.all, use.by_priority, use.images});
   }
 }
 
 void Core::UserApiView::VisitRunnableJobs(const BacklogVisitor& visit) const {
-  for (const std::string& id : core_.open_jobs_) {
-    const JobEntry& entry = core_.jobs_.at(id);
+  for (const std::string& id : core_.jobs_.open()) {
+    const JobEntry& entry = core_.jobs_.At(id);
     const JobRecord& record = entry.record;
     if (!IsShard(record.shard_id) || entry.blocked) continue;
     const TaskCounts counts = TaskCountsOf(id, record);
@@ -104,10 +108,10 @@
 }
 
 bool Core::UserApiView::HasLiveLeader(int shard_id) const {
-  const ShardReplica& replica = core_.ShardAt(shard_id).replica;
-  auto leader = core_.peers_.find(replica.leadership_record.leader);
+  const ShardRecords& replica = core_.ShardAt(shard_id).replica;
+  const Peer* leader = core_.peers_.Find(replica.leadership_record.leader);
   return replica.leadership_version != 0 &&
-         (leader == core_.peers_.end() || core_.now_ - leader->second.heard < kLeaderAlive);
+         (leader == nullptr || core_.node_health_.last_tick() - leader->last_heard < kLeaderAlive);
 }
 
 }  // namespace troutlink
--- a/src/core/user_api_view.h
+++ b/src/core/user_api_view.h
@@ -25,7 +25,7 @@
 
   // JobDirectory.
   const JobEntry* FindJob(const std::string& id) const override;
-  JobFate FateOf(const std::string& id) const override;
+  KnownJobState StateOf(const std::string& id) const override;
   bool HasCancelledDependency(const JobSpec& spec) const override;
   TaskCounts TaskCountsOf(const std::string& id, const JobRecord& record) const override;
   void ApplyPut(Micros now, const std::string& key, const std::string& value,
--- a/tests/api_fakes.h
+++ b/tests/api_fakes.h
@@ -37,16 +37,16 @@
     auto job = jobs.find(id);
     return job == jobs.end() ? nullptr : &job->second;
   }
-  JobFate FateOf(const std::string& id) const override {
-    if (cancelled_by_peers.count(id) != 0) return JobFate::kCancelled;
+  KnownJobState StateOf(const std::string& id) const override {
+    if (cancelled_by_peers.count(id) != 0) return KnownJobState::kCancelled;
     const JobEntry* job = FindJob(id);
-    if (job == nullptr) return JobFate::kUnknown;
-    if (job->record.state == JobState::kDone) return JobFate::kDone;
-    return job->record.state == JobState::kOpen ? JobFate::kOpen : JobFate::kCancelled;
+    if (job == nullptr) return KnownJobState::kUnknown;
+    if (job->record.state == JobState::kDone) return KnownJobState::kDone;
+    return job->record.state == JobState::kOpen ? KnownJobState::kOpen : KnownJobState::kCancelled;
   }
   bool HasCancelledDependency(const JobSpec& spec) const override {
     for (const std::string& id : spec.dependencies) {
-      if (FateOf(id) == JobFate::kCancelled) return true;
+      if (StateOf(id) == KnownJobState::kCancelled) return true;
     }
     return false;
   }
--- a/tests/permits_units_test.cc
+++ b/tests/permits_units_test.cc
@@ -12,7 +12,7 @@
   StartFacts facts;
   facts.is_leader = true;
   facts.assigned = true;
-  facts.fate = JobFate::kOpen;
+  facts.job_state = KnownJobState::kOpen;
   facts.now = kNow;
   facts.cancellations_bound = kNow + 1;
   return facts;
@@ -32,11 +32,15 @@
   EXPECT_TRUE(Startable().Judge());
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->is_leader = false; }), Refusal::kNotLeader);
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->assigned = false; }), Refusal::kNotAssigned);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kUnknown; }), Refusal::kJobUnknown);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kBlocked; }), Refusal::kJobBlocked);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kCancelled; }), Refusal::kJobOver);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->fate = JobFate::kDone; }), Refusal::kJobOver);
-  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->stood_still = true; }), Refusal::kStoodStill);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->job_state = KnownJobState::kUnknown; }),
+            Refusal::kJobUnknown);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->job_state = KnownJobState::kBlocked; }),
+            Refusal::kJobBlocked);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->job_state = KnownJobState::kCancelled; }),
+            Refusal::kJobOver);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->job_state = KnownJobState::kDone; }),
+            Refusal::kJobOver);
+  EXPECT_EQ(RefusalOf([](StartFacts* f) { f->process_paused = true; }), Refusal::kProcessPaused);
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->cancellations_bound = kNow; }),
             Refusal::kCancellationsStale);
 }
@@ -45,7 +49,7 @@
   EXPECT_EQ(ViolationOf(Refusal::kNotLeader), Violation::kStartWithoutLeadership);
   EXPECT_EQ(ViolationOf(Refusal::kNotAssigned), Violation::kStartUnassigned);
   EXPECT_EQ(ViolationOf(Refusal::kJobBlocked), Violation::kStartBlocked);
-  for (const Refusal ordinary : {Refusal::kJobUnknown, Refusal::kJobOver, Refusal::kStoodStill,
+  for (const Refusal ordinary : {Refusal::kJobUnknown, Refusal::kJobOver, Refusal::kProcessPaused,
                                  Refusal::kCancellationsStale, Refusal::kReplicaStale}) {
     EXPECT_EQ(ViolationOf(ordinary), std::nullopt) << NameOf(ordinary);
   }
@@ -62,13 +66,13 @@
 
 TEST(Permits, AnOpenJobIsToldBySomeoneWhoKnowsItsDependencies) {
   constexpr Micros kMost = 20 * kSecond;
-  EXPECT_TRUE((OpenAnswerFacts{JobFate::kOpen, false, 90 * kSecond, kMost}.Judge()));
-  EXPECT_TRUE((OpenAnswerFacts{JobFate::kBlocked, true, kMost - 1, kMost}.Judge()));
-  EXPECT_EQ((OpenAnswerFacts{JobFate::kBlocked, true, kMost, kMost}.Judge().error().code),
+  EXPECT_TRUE((OpenAnswerFacts{KnownJobState::kOpen, false, 90 * kSecond, kMost}.Judge()));
+  EXPECT_TRUE((OpenAnswerFacts{KnownJobState::kBlocked, true, kMost - 1, kMost}.Judge()));
+  EXPECT_EQ((OpenAnswerFacts{KnownJobState::kBlocked, true, kMost, kMost}.Judge().error().code),
             Refusal::kReplicaStale);
-  EXPECT_EQ((OpenAnswerFacts{JobFate::kCancelled, true, 0, kMost}.Judge().error().code),
+  EXPECT_EQ((OpenAnswerFacts{KnownJobState::kCancelled, true, 0, kMost}.Judge().error().code),
             Refusal::kJobOver);
-  EXPECT_EQ((OpenAnswerFacts{JobFate::kUnknown, false, 0, kMost}.Judge().error().code),
+  EXPECT_EQ((OpenAnswerFacts{KnownJobState::kUnknown, false, 0, kMost}.Judge().error().code),
             Refusal::kJobUnknown);
 }
 
@@ -76,9 +80,9 @@
   Tally<Refusal, kRefusals> refusals;
   refusals.Add(Refusal::kJobOver);
   refusals.Add(Refusal::kJobOver);
-  refusals.Add(Refusal::kStoodStill);
+  refusals.Add(Refusal::kProcessPaused);
   EXPECT_EQ(refusals.Of(Refusal::kJobOver), 2U);
-  EXPECT_EQ(refusals.Of(Refusal::kStoodStill), 1U);
+  EXPECT_EQ(refusals.Of(Refusal::kProcessPaused), 1U);
   EXPECT_EQ(refusals.Of(Refusal::kNotLeader), 0U);
   EXPECT_EQ(refusals.Total(), 3U);
 }
