--- a/src/core/leadership/heartbeat_exchange.h
+++ b/src/core/leadership/heartbeat_exchange.h
@@ -9,10 +9,10 @@
 
 #include "base/micros.h"
 #include "core/io/effects.h"
-#include "core/leadership/cancellations.h"
+#include "core/store/cancellations.h"
 #include "core/leadership/leader_election.h"
 #include "core/leadership/machine_status_source.h"
-#include "core/leadership/node_health.h"
+#include "core/store/node_health.h"
 #include "core/leadership/peer_report_listener.h"
 #include "core/leadership/peer_table.h"
 #include "mesh/codec.h"
--- a/src/core/leadership/readiness.h
+++ b/src/core/leadership/readiness.h
@@ -3,7 +3,7 @@
 #define TROUTLINK_CORE_LEADERSHIP_READINESS_H_
 
 #include "base/micros.h"
-#include "core/leadership/node_health.h"
+#include "core/store/node_health.h"
 #include "core/leadership/peer_table.h"
 
 namespace troutlink {
--- a/src/core/leadership/session_lease_keeper.h
+++ b/src/core/leadership/session_lease_keeper.h
@@ -6,7 +6,7 @@
 
 #include "base/micros.h"
 #include "core/io/effects.h"
-#include "core/leadership/node_health.h"
+#include "core/store/node_health.h"
 #include "core/leadership/session_lease.h"
 #include "core/leadership/session_lease_observer.h"
 
--- a/src/core/leadership/cancellations.cc
+++ b/src/core/store/cancellations.cc
@@ -1,4 +1,4 @@
-#include "core/leadership/cancellations.h"
+#include "core/store/cancellations.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/core/leadership/cancellations.h
+++ b/src/core/store/cancellations.h
@@ -1,6 +1,6 @@
 // What a controller knows of cancelled jobs, and how long it may therefore renew leases.
-#ifndef TROUTLINK_CORE_LEADERSHIP_CANCELLATIONS_H_
-#define TROUTLINK_CORE_LEADERSHIP_CANCELLATIONS_H_
+#ifndef TROUTLINK_CORE_STORE_CANCELLATIONS_H_
+#define TROUTLINK_CORE_STORE_CANCELLATIONS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -88,4 +88,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_LEADERSHIP_CANCELLATIONS_H_
+#endif  // TROUTLINK_CORE_STORE_CANCELLATIONS_H_
--- a/src/core/leadership/commit_answer.cc
+++ b/src/core/store/commit_answer.cc
@@ -1,4 +1,4 @@
-#include "core/leadership/commit_answer.h"
+#include "core/store/commit_answer.h"
 
 #include "wire/messages.h"
 
--- a/src/core/leadership/commit_answer.h
+++ b/src/core/store/commit_answer.h
@@ -1,6 +1,6 @@
 // The answer of the state service to a transaction, decoded once.
-#ifndef TROUTLINK_CORE_LEADERSHIP_COMMIT_ANSWER_H_
-#define TROUTLINK_CORE_LEADERSHIP_COMMIT_ANSWER_H_
+#ifndef TROUTLINK_CORE_STORE_COMMIT_ANSWER_H_
+#define TROUTLINK_CORE_STORE_COMMIT_ANSWER_H_
 
 #include <cstdint>
 #include <optional>
@@ -28,4 +28,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_LEADERSHIP_COMMIT_ANSWER_H_
+#endif  // TROUTLINK_CORE_STORE_COMMIT_ANSWER_H_
--- a/src/core/store/job_table.h
+++ b/src/core/store/job_table.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/leadership/cancellations.h"
+#include "core/store/cancellations.h"
 #include "core/store/dependencies.h"
 #include "core/store/job_entry.h"
 #include "core/store/job_observer.h"
--- a/src/core/leadership/node_health.h
+++ b/src/core/store/node_health.h
@@ -1,6 +1,6 @@
 // Health of this node: whether the state service answers it, and whether its process was paused.
-#ifndef TROUTLINK_CORE_LEADERSHIP_NODE_HEALTH_H_
-#define TROUTLINK_CORE_LEADERSHIP_NODE_HEALTH_H_
+#ifndef TROUTLINK_CORE_STORE_NODE_HEALTH_H_
+#define TROUTLINK_CORE_STORE_NODE_HEALTH_H_
 
 #include <algorithm>
 
@@ -59,4 +59,4 @@
 
 }  // namespace troutlink
 
-#endif  // TROUTLINK_CORE_LEADERSHIP_NODE_HEALTH_H_
+#endif  // TROUTLINK_CORE_STORE_NODE_HEALTH_H_
--- a/src/core/store/replica_sync.cc
+++ b/src/core/store/replica_sync.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "core/io/event.h"
-#include "core/leadership/commit_answer.h"
+#include "core/store/commit_answer.h"
 #include "core/store/records.h"
 
 namespace troutlink {
--- a/src/core/store/replica_sync.h
+++ b/src/core/store/replica_sync.h
@@ -11,7 +11,7 @@
 #include "config/settings.h"
 #include "core/io/effects.h"
 #include "core/io/token_bucket.h"
-#include "core/leadership/node_health.h"
+#include "core/store/node_health.h"
 #include "core/store/cluster_version.h"
 #include "core/store/job_table.h"
 #include "core/store/replica.h"
--- a/tests/cancellations_units_test.cc
+++ b/tests/cancellations_units_test.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leadership/cancellations.h"
+#include "core/store/cancellations.h"
 #include "core/leadership/session_lease.h"
 #include "core/store/replica_feed.h"
 
--- a/tests/leadership_units_test.cc
+++ b/tests/leadership_units_test.cc
@@ -8,10 +8,10 @@
 #include <variant>
 #include <vector>
 
-#include "core/leadership/commit_answer.h"
+#include "core/store/commit_answer.h"
 #include "core/leadership/heartbeat_exchange.h"
 #include "core/leadership/leader_election.h"
-#include "core/leadership/node_health.h"
+#include "core/store/node_health.h"
 #include "core/leadership/peer_table.h"
 #include "core/leadership/readiness.h"
 #include "core/leadership/session_lease_keeper.h"
