--- a/src/core/agents/silence.cc
+++ b/src/core/agents/silence.cc
@@ -117,7 +117,7 @@
   if (info.missing && silent > 3 * settings_.report / 2) return true;
   const Micros patience = Patience(machine, silence);
   if (info.first_heard != 0) return silent > patience;
-  const MachineType* type = TypeOf(machine.type);
+  const MachineType* type = machine_types_.Find(machine.type);
   if (type == nullptr) return false;
   const auto boot =
       static_cast<Micros>(settings_.op.boot_patience() * static_cast<double>(type->boot));
@@ -128,7 +128,7 @@
 void Core::GiveUp(Micros now, int shard_id, const AssignedMachine& machine, MachineInfo* info) {
   info->give_up = true;
   if (info->first_heard == 0) {
-    offers_.NeverCameUp(now, OfferKey(machine.type, machine.zone, machine.spot));
+    offer_health_.NeverCameUp(now, {machine.type, machine.zone, machine.spot});
   }
   const char* reason = info->failed    ? ": failed"
                        : info->missing ? ": no longer listed"
--- a/src/core/agents/worker_state.cc
+++ b/src/core/agents/worker_state.cc
@@ -59,7 +59,7 @@
     info->first_heard = now;
     info->no_direct_before = 0;
     info->direct_failures = 0;
-    offers_.CameUp(now, OfferKey(report.type, report.zone, report.spot));
+    offer_health_.CameUp(now, {report.type, report.zone, report.spot});
   }
   if (!report.addr.empty()) info->addr = report.addr;
   if (report.notice) {
@@ -182,7 +182,7 @@
                         double gb, Micros now) {
   info->images[image] = now;
   info->image_gb[image] = gb;
-  const MachineType* type = TypeOf(type_name);
+  const MachineType* type = machine_types_.Find(type_name);
   if (type == nullptr) return;
   // The machine keeps the most recently used ones: forget what no longer fits.
   while (info->images.size() > 1) {
--- a/src/core/api/forwarding.cc
+++ b/src/core/api/forwarding.cc
@@ -16,7 +16,7 @@
   OpenRequest& open = open_[request.id];
   open.request = request;
   open.since = now;
-  if (!StateFresh(now) || !feed_.synced() || types_.empty()) ForwardRequest(now, &open);
+  if (!StateFresh(now) || !feed_.synced() || machine_types_.empty()) ForwardRequest(now, &open);
   Route(now, request);
 }
 
--- a/src/core/api/shard_choice.cc
+++ b/src/core/api/shard_choice.cc
@@ -72,7 +72,7 @@
 void Core::AddRoom(const JobSpec& spec, const MachineUse& use, Room* room, JobSpread* spread,
                    JobSpread* ready_spread) const {
   const AssignedMachine& machine = *use.machine;
-  const MachineType* type = TypeOf(machine.type);
+  const MachineType* type = machine_types_.Find(machine.type);
   if (type == nullptr || machine.leaving || !machine.helps.empty()) return;
   if (!TypeAllowed(spec, machine.type, machine.spot)) return;
   if (spec.each.Fits(type->size)) ++room->machines;
--- a/src/core/api/submissions.cc
+++ b/src/core/api/submissions.cc
@@ -9,7 +9,8 @@
 std::string Core::NeverRuns(const JobSpec& spec) const {
   const Team* team = FindTeam(spec.team);
   if (team == nullptr) return "unknown team";
-  const bool fits = std::any_of(types_.begin(), types_.end(), [&](const MachineType& type) {
+  const std::vector<MachineType>& types = machine_types_.types();
+  const bool fits = std::any_of(types.begin(), types.end(), [&](const MachineType& type) {
     if (!TypeAllowed(spec, type.name, false) || !spec.each.Fits(type.size)) return false;
     if (spec.zone.empty()) return !type.zones.empty() || settings_.zones.empty();
     return std::find(type.zones.begin(), type.zones.end(), spec.zone) != type.zones.end();
@@ -41,12 +42,12 @@
   }
   // What can never run is told so at once, also in trouble: it needs the types alone.
   std::string why;
-  if (!types_.empty()) why = NeverRuns(*spec);
+  if (!machine_types_.empty()) why = NeverRuns(*spec);
   if (!why.empty()) {
     Answer(request.id, 422, wire::EncodeError(why));
     return;
   }
-  if (!feed_.synced() || types_.empty() || !StateFresh(now)) {
+  if (!feed_.synced() || machine_types_.empty() || !StateFresh(now)) {
     ++counters_.refused;
     Answer(request.id, 503, wire::EncodeError("not ready"), kRetryAfter);
     return;
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -35,7 +35,30 @@
       session_lease_(FromSeconds(settings.op.claim_life_s())),
       cancellations_(settings.cancel, settings.lease),
       health_(static_cast<int>(settings.op.machine_failures()),
-              static_cast<int>(settings.op.job_failures())) {
+              static_cast<int>(settings.op.job_failures())),
+      machine_types_(&effects_, &cloud_budget_,
+                     [this](Micros t) {
+                       if (!feed_.synced() || !write_budget_.Take(t, 1, 2)) return false;
+                       ++counters_.puts;
+                       return true;
+                     }),
+      instance_lister_(
+          {settings.shard_count(), settings.cloud_rps, settings.list_lag}, &effects_,
+          &cloud_budget_, [this] { return some_silent_; },
+          [this](Micros t, Micros asked, const std::vector<ListedMachine>& instances) {
+            ReconcileInstances(t, asked, instances);
+          }),
+      offer_backoff_(FromSeconds(settings.op.refusal_pause_s())),
+      offer_selector_(&machine_types_, &offer_health_, &offer_backoff_),
+      rental_requests_(
+          &effects_, &cloud_budget_, &offer_backoff_,
+          [this](int shard_id, const RentalAnswer& answer) { OnRentalAnswered(shard_id, answer); }),
+      instance_returns_(
+          &effects_, &cloud_budget_,
+          [this](int shard_id, const std::string& name) {
+            return OnInstanceReturned(shard_id, name);
+          },
+          [this](int shard_id) { MarkDirty(shard_id); }) {
   // A late answer to the process before this one must not be taken for an
   // answer to us: numbers begin where no earlier process is likely to have been.
   const uint64_t base = (boot_ & 0xffffffffu) << 24;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -16,7 +16,15 @@
 
 #include "config/settings.h"
 #include "core/agents/health.h"
+#include "core/fleet/cloud_answers.h"
+#include "core/fleet/instance_lister.h"
+#include "core/fleet/instance_returns.h"
+#include "core/fleet/machine_type_catalog.h"
+#include "core/fleet/offer.h"
+#include "core/fleet/offer_backoff.h"
 #include "core/fleet/offer_health.h"
+#include "core/fleet/offer_selector.h"
+#include "core/fleet/rental_requests.h"
 #include "core/io/effects.h"
 #include "core/io/fair_turns.h"
 #include "core/io/io.h"
@@ -215,7 +223,6 @@
   void ApplyFinishedJob(Micros now, const std::string& id, JobEntry* entry);
   void ApplyLeadership(Micros now, int shard_id, const std::string& value, uint64_t version);
   void ApplyProgress(int shard_id, int page, const std::string& value, uint64_t version);
-  void ApplyTypes(const std::string& value);
   void ApplyChunk(Micros now, const Key& key, const std::string& value, uint64_t version);
   void ApplyHeader(Micros now, int shard_id, AssignmentTable header);
   // The first value of the compact form of a table was read.
@@ -456,8 +463,6 @@
     bool missing = false;   // was listed, is no longer
     bool listed = false;
     bool listed_running = false;
-    bool returning = false;
-    Micros return_at = 0;
     Micros idle_since = 0;
     Micros avoid_until = 0;       // refused a start for lack of room
     uint64_t assigned_epoch = 0;  // leadership under which it is in an assignment table of ours
@@ -610,8 +615,8 @@
   void LoadRun(int shard_id, const std::string& id, const JobEntry& entry);
   void SyncShard(Micros now, int shard_id);
   static void ForgetPlaced(JobRun* run);
-  static void MachineCame(Micros now, const Shard& shard, const AssignedMachine& machine,
-                          MachineInfo* info);
+  void MachineCame(Micros now, const Shard& shard, const AssignedMachine& machine,
+                   MachineInfo* info);
   void SyncAttempts(Micros now, int shard_id, MachineUse* use);
   Micros RoundPace(const Shard& shard) const;
   void RunRounds(Micros now);
@@ -643,10 +648,6 @@
   void Round(Micros now, int shard_id);
   void FindDoneJobs(int shard_id, Plan* plan) const;
   void LogShardState(int shard_id, const Plan& plan);
-  struct Offer {
-    const MachineType* type = nullptr;
-    std::string zone;
-  };
   void ChooseWindow(Shard* shard, Plan* plan) const;
   std::set<int> RoomiestChunks(const Shard& shard, size_t most) const;
   int TasksWithinLimit(const Plan& plan, const Team& team, int shard_id, const JobSpec& spec,
@@ -765,17 +766,16 @@
   bool HelperWanted(const std::string& job, const Plan& plan) const;
   static bool SpareSpot(const MachineType& type, const Plan& plan, FreeRoom* room);
   bool SpareSteady(const MachineType& type, PlaceMachine* place, Plan* plan, FreeRoom* room) const;
-  void AddRental(int shard_id, Plan* plan, const Offer& offer, bool spot, int count,
-                 const std::string& helps, const std::string& reason);
+  void AddRental(int shard_id, Plan* plan, const Offer& offer, int count, const std::string& helps,
+                 const std::string& reason);
 
   // --- fleet (fleet.cc, returns.cc, cloud.cc, silence.cc) ----------------------------------
   void RunCloud(Micros now);
-  void AskTypes(Micros now);
-  void AskMachines(Micros now, const std::string& after);
-  void StoreTypes(Micros now, const std::string& body);
-  void ProcessMachineList(Micros now);
-  void SendRental(Micros now, int shard_id, const std::string& request);
+  void ReconcileInstances(Micros now, Micros asked, const std::vector<ListedMachine>& instances);
+  void SendRentals(Micros now, int shard_id, const std::vector<std::string>& requests);
+  void OnRentalAnswered(int shard_id, const RentalAnswer& answer);
   void SendReturns(Micros now, int shard_id);
+  bool OnInstanceReturned(int shard_id, const std::string& name);
   std::set<std::string> ZonesCutOff(Micros now) const;
   void JudgeMachines(Micros now, int shard_id);
   struct SilenceOfShard {
@@ -793,12 +793,7 @@
                     const MachineInfo& info);
   void JudgeIdle(Micros now, const AssignedMachine& machine, MachineInfo* info) const;
   bool RepeatStops(Micros now, const AssignedMachine& machine, const MachineInfo& info);
-  const MachineType* TypeOf(const std::string& name) const;
-  // The cheapest type and zone of a kind that fits `each` and is not paused.
-  bool PickOffer(Micros now, const JobSpec& spec, const JobSpread& spread, bool spot,
-                 const std::map<std::string, int>& in_zone, Offer* offer) const;
-  static std::map<std::string, int> InZones(const AssignmentTable& assignments);
-  static std::string OfferKey(const std::string& type, const std::string& zone, bool spot);
+  static std::map<std::string, int> InstancesByZone(const AssignmentTable& assignments);
 
   // --- plumbing (core.cc) --------------------------------------------------------------
   void Answer(uint64_t request, int status, std::string body, int retry_after_s = 0);
@@ -888,32 +883,15 @@
   std::unordered_map<std::string, JobRun> runs_;
 
   // Fleet.
-  std::vector<MachineType> types_;
-  std::string types_stored_;
-  bool types_busy_ = false;
-  Micros next_types_ = 0;
-  bool list_busy_ = false;
-  std::string list_after_;  // the list goes on behind this name
-  int list_pages_ = 0;
-  Micros next_machines_ = 0;
-  Micros machines_asked_ = 0;
-  std::vector<ListedMachine> listed_;
+  MachineTypeCatalog machine_types_;
+  InstanceLister instance_lister_;
+  OfferHealth offer_health_;
+  OfferBackoff offer_backoff_;
+  OfferSelector offer_selector_;
+  RentalRequests rental_requests_;
+  InstanceReturns instance_returns_;
   std::map<std::string, Micros> stray_since_;
   std::map<std::string, Micros> departed_;  // left the assignment tables: lists still show them
-  struct Pause {
-    Micros until = 0;
-    int refusals = 0;
-  };
-  std::map<std::string, Pause> offer_pause_;  // type/zone/kind
-  OfferHealth offers_;
-  struct RentalState {
-    bool sent = false;
-    bool done = false;
-    std::vector<std::string> machines;
-    Micros retry_at = 0;
-  };
-  std::map<std::string, RentalState> rental_states_;
-  std::set<std::string> returned_;  // confirmed by the cloud, to leave the assignment table
   uint64_t mark_ = 0;
   std::map<std::string, Micros> free_since_;  // others' machines, for taking
   Micros next_judge_ = 0;
--- /dev/null
+++ b/src/core/fleet/adoption.cc
@@ -0,0 +1,121 @@
+// Which instances that no assignment table has come into a shard's table.
+#include <algorithm>
+
+#include "base/ids.h"
+#include "core/core.h"
+#include "core/scheduler/plan.h"
+
+namespace troutlink {
+
+namespace {
+constexpr Micros kStrayAfter = 20 * kSecond;
+constexpr int kMaxAdopted = 50;  // strays, by one round
+}  // namespace
+
+// Brings machines that nobody has into the shard's assignment table.
+void Core::PlanAdoption(Micros now, int shard_id, Plan* plan) {
+  AdoptRented(plan);
+  AdoptStrays(now, shard_id, plan);
+}
+
+// The machines of rentals that were answered.
+void Core::AdoptRented(Plan* plan) {
+  std::map<std::string, Rental>& rentals = plan->assignments.rentals;
+  for (auto rental = rentals.begin(); rental != rentals.end();) {
+    const std::vector<std::string>* rented = rental_requests_.InstancesOf(rental->first);
+    if (rented == nullptr) {
+      ++rental;
+      continue;
+    }
+    bool all = true;
+    for (const std::string& name : *rented) {
+      if (ShardOfMachine(name) >= 0) continue;
+      if (!plan->MayChange(name)) {
+        all = false;  // in a later round; until then the rental stays on record
+        continue;
+      }
+      AssignedMachine machine;
+      machine.name = name;
+      machine.type = rental->second.ask.type;
+      machine.zone = rental->second.ask.zone;
+      machine.spot = rental->second.ask.spot;
+      machine.helps = rental->second.helps;
+      auto known = unknown_.find(name);  // it may be up already
+      if (known != unknown_.end()) machine.addr = known->second.addr;
+      plan->assignments.machines[name] = std::move(machine);
+      plan->Change(name);
+    }
+    rental = all ? rentals.erase(rental) : std::next(rental);
+    plan->urgent = true;
+  }
+}
+
+// Machines that are in no assignment table: those that report, and those that the cloud's list
+// has shown for a while.
+void Core::AdoptStrays(Micros now, int shard_id, Plan* plan) {
+  int adopted = 0;
+  for (const auto& [name, report] : unknown_) {
+    if (adopted >= kMaxAdopted) return;
+    if (instance_returns_.Confirmed(name)) continue;
+    AssignedMachine machine;
+    machine.name = name;
+    machine.addr = report.addr;
+    machine.type = report.type;
+    machine.zone = report.zone;
+    machine.spot = report.spot;
+    if (AdoptStray(shard_id, std::move(machine), plan)) ++adopted;
+  }
+  // A list may show what was given back long ago. At the very first start, when
+  // no shard has rented anything yet, it can be trusted at once.
+  const bool first_start = std::all_of(shards_.begin(), shards_.end(), [](const Shard& shard) {
+    return shard.replica.assignments.next_number == 1;
+  });
+  for (const ListedMachine& listed : instance_lister_.instances()) {
+    if (adopted >= kMaxAdopted) return;
+    if (listed.state == ListedMachine::State::kFailed) continue;
+    if (listed.state != ListedMachine::State::kRunning && listed.age < kStrayAfter) continue;
+    auto since = stray_since_.find(listed.name);
+    const bool long_known = since != stray_since_.end() && now - since->second >= kStrayAfter;
+    if (!first_start && !long_known) continue;
+    AssignedMachine machine;
+    machine.name = listed.name;
+    machine.addr = listed.addr;
+    machine.type = listed.type;
+    machine.zone = listed.zone;
+    machine.spot = listed.spot;
+    if (AdoptStray(shard_id, std::move(machine), plan)) ++adopted;
+  }
+}
+
+// Each shard adopts its part of the strays, by hash of their names. The commit is conditional
+// on all assignment tables, so that no two shards take the same machine.
+bool Core::AdoptStray(int shard_id, AssignedMachine machine, Plan* plan) {
+  const std::string name = machine.name;
+  if (static_cast<int>(StableHash(name) % shards_.size()) != shard_id) return false;
+  if (ShardOfMachine(name) >= 0 || plan->assignments.machines.count(name) != 0) return false;
+  if (departed_.count(name) != 0 || !plan->MayChange(name)) return false;
+  if (MayBeRented(shard_id, machine, *plan)) return false;
+  plan->assignments.machines[name] = std::move(machine);
+  plan->Change(name);
+  plan->all_tables = true;
+  plan->urgent = true;
+  ++counters_.adopted;
+  return true;
+}
+
+// Whether the machine may be of a rental whose answer is still to come.
+bool Core::MayBeRented(int shard_id, const AssignedMachine& machine, const Plan& plan) const {
+  for (int id = 0; id < settings_.shard_count(); ++id) {
+    const AssignmentTable& table =
+        id == shard_id ? plan.assignments : ShardAt(id).replica.assignments;
+    for (const auto& [request, rental] : table.rentals) {
+      const RentRequest& ask = rental.ask;
+      if (ask.type == machine.type && ask.zone == machine.zone && ask.spot == machine.spot) {
+        return true;
+      }
+    }
+  }
+  return false;
+}
+
+}  // namespace troutlink
--- a/src/core/fleet/fleet.cc
+++ b/src/core/fleet/fleet.cc
@@ -1,4 +1,4 @@
-// Fleet: which offers to rent, and how many machines of each.
+// Scale out: how many instances of which offers a round decides to rent.
 #include <algorithm>
 
 #include "core/core.h"
@@ -12,56 +12,13 @@
 constexpr size_t kMaxRentals = 6;  // of a shard, unanswered
 }  // namespace
 
-std::string Core::OfferKey(const std::string& type, const std::string& zone, bool spot) {
-  return type + "/" + zone + (spot ? "/spot" : "/steady");
-}
-
-const MachineType* Core::TypeOf(const std::string& name) const {
-  for (const MachineType& t : types_) {
-    if (t.name == name) return &t;
-  }
-  return nullptr;
-}
-
-bool Core::PickOffer(Micros now, const JobSpec& spec, const JobSpread& spread, bool spot,
-                     const std::map<std::string, int>& in_zone, Offer* offer) const {
-  double best = 0;
-  bool found = false;
-  for (const MachineType& t : types_) {
-    if (!TypeAllowed(spec, t.name, spot)) continue;
-    int per = TasksThatFit(spec, t.size);
-    if (per <= 0) continue;
-    for (const std::string& zone : t.zones) {
-      auto pause = offer_pause_.find(OfferKey(t.name, zone, spot));
-      if (pause != offer_pause_.end() && now < pause->second.until) continue;
-      PlaceMachine probe;
-      probe.type = t.name;
-      probe.zone = zone;
-      probe.spot = spot;
-      if (!Allowed(spec, spread, probe)) continue;
-      double cost = (spot ? t.spot_price : t.price) / std::min(per, 64);
-      cost *= offers_.PriceFactor(now, OfferKey(t.name, zone, spot));
-      // Evenly over the zones, where it costs nothing.
-      auto have = in_zone.find(zone);
-      if (have != in_zone.end()) cost *= 1.0 + 0.001 * have->second;
-      if (!found || cost < best) {
-        found = true;
-        best = cost;
-        offer->type = &t;
-        offer->zone = zone;
-      }
-    }
-  }
-  return found;
-}
-
-std::map<std::string, int> Core::InZones(const AssignmentTable& assignments) {
+std::map<std::string, int> Core::InstancesByZone(const AssignmentTable& assignments) {
   std::map<std::string, int> out;
   for (const auto& [name, m] : assignments.machines) ++out[m.zone];
   return out;
 }
 
-void Core::AddRental(int shard_id, Plan* plan, const Offer& offer, bool spot, int count,
+void Core::AddRental(int shard_id, Plan* plan, const Offer& offer, int count,
                      const std::string& helps, const std::string& reason) {
   Rental rental;
   // Unique for ever: the number comes from the assignment table, in whose commit it is
@@ -70,12 +27,12 @@
       "troutlink-" + std::to_string(shard_id) + "-" + std::to_string(NextNumber(shard_id, plan));
   rental.ask.type = offer.type->name;
   rental.ask.zone = offer.zone;
-  rental.ask.spot = spot;
+  rental.ask.spot = offer.spot;
   rental.ask.count = std::min(count, kMaxPerRental);
   rental.helps = helps;
   plan->rentals.push_back(rental.ask.request);
   effects_.Log(LogLine::Level::kDebug, "rent " + std::to_string(rental.ask.count) + " " +
-                                           rental.ask.type + (spot ? " spot" : " steady") +
+                                           rental.ask.type + (offer.spot ? " spot" : " steady") +
                                            " for " + reason);
   plan->assignments.rentals[rental.ask.request] = rental;
   plan->urgent = true;
@@ -113,7 +70,7 @@
   for (const auto& [key, want] : planner.wants()) {
     for (int left = want.count; left > 0 && plan->assignments.rentals.size() < kMaxRentals;
          left -= kMaxPerRental) {
-      AddRental(shard_id, plan, want.offer, want.spot, left, "", want.reason);
+      AddRental(shard_id, plan, want.offer, left, "", want.reason);
     }
   }
 }
--- /dev/null
+++ b/src/core/fleet/instance_lister.cc
@@ -0,0 +1,85 @@
+#include "core/fleet/instance_lister.h"
+
+#include <algorithm>
+#include <optional>
+#include <utility>
+
+#include "core/fleet/cloud_answers.h"
+
+namespace troutlink {
+
+namespace {
+constexpr int kPageLimit = 500;
+constexpr Micros kListPatience = 30 * kSecond;
+constexpr Micros kRetryPeriod = 3 * kSecond;
+constexpr Micros kHurriedPeriod = 1500 * kMilli;
+constexpr Micros kLeastPeriod = 2 * kSecond;
+constexpr double kReserve = 1;  // calls that are left to rentals and returns
+}  // namespace
+
+InstanceLister::InstanceLister(const Pacing& pacing, Effects* effects, TokenBucket* cloud_calls,
+                               Hurry hurry, Completed completed)
+    : pacing_(pacing),
+      effects_(effects),
+      cloud_calls_(cloud_calls),
+      hurry_(std::move(hurry)),
+      completed_(std::move(completed)) {}
+
+void InstanceLister::Advance(Micros now) {
+  if (reading_ && !next_page_after_.empty()) {
+    if (now - asked_ > kListPatience) {
+      reading_ = false;  // its first pages are too old
+    } else if (cloud_calls_->Take(now, 1, kReserve)) {
+      AskPage(std::exchange(next_page_after_, {}));
+    }
+  } else if (!reading_ && now >= next_list_ && cloud_calls_->Take(now, 1, kReserve)) {
+    BeginList(now);
+  }
+}
+
+void InstanceLister::BeginList(Micros now) {
+  reading_ = true;
+  asked_ = now;
+  instances_.clear();
+  pages_ = 0;
+  next_page_after_.clear();
+  AskPage("");
+}
+
+void InstanceLister::AskPage(const std::string& after) {
+  effects_->Send(
+      Dest::kCloud, "", "GET", wire::MachinesTarget(after, kPageLimit), "", kCloudTimeout,
+      [this](Micros t, int status, const std::string& body) { OnPage(t, status, body); });
+}
+
+void InstanceLister::OnPage(Micros now, int status, const std::string& body) {
+  std::optional<wire::MachinePage> page = DecodeListAnswer(status, body);
+  if (!page) {
+    reading_ = false;
+    instances_.clear();
+    next_list_ = now + kRetryPeriod;
+    return;  // the next list begins anew
+  }
+  instances_.insert(instances_.end(), page->machines.begin(), page->machines.end());
+  ++pages_;
+  if (page->more && !page->machines.empty()) {
+    // Goes on as soon as there is a call for it: a list that was dropped for
+    // want of one never showed more than the first pages of a large fleet.
+    next_page_after_ = page->machines.back().name;
+    return;
+  }
+  reading_ = false;
+  next_page_after_.clear();
+  next_list_ = asked_ + Period();
+  completed_(now, asked_, instances_);
+}
+
+Micros InstanceLister::Period() const {
+  // Half of our calls are left to rentals and returns.
+  const auto paced = static_cast<Micros>(2.0 * pages_ * pacing_.shard_count / pacing_.cloud_rps *
+                                         static_cast<double>(kSecond));
+  return std::max(paced, hurry_() ? kHurriedPeriod
+                                  : std::max<Micros>(kLeastPeriod, pacing_.list_lag / 2 + kSecond));
+}
+
+}  // namespace troutlink
--- a/src/core/fleet/offer_health.h
+++ b/src/core/fleet/offer_health.h
@@ -5,24 +5,24 @@
 
 #include <cmath>
 #include <map>
-#include <string>
 
 #include "base/micros.h"
+#include "core/fleet/offer.h"
 
 namespace troutlink {
 
-// Counts boots by offer (type, zone and kind, as one key). Counts halve with time, so that an
+// Counts boots by offer. Counts halve with time, so that an
 // offer that failed is tried again later.
 class OfferHealth {
  public:
   // A machine of that offer reported for the first time.
-  void CameUp(Micros now, const std::string& offer) { Count(now, offer)->up += 1; }
+  void CameUp(Micros now, const OfferKey& offer) { Count(now, offer)->up += 1; }
   // A machine of that offer was given up before it had reported.
-  void NeverCameUp(Micros now, const std::string& offer) { Count(now, offer)->failed += 1; }
+  void NeverCameUp(Micros now, const OfferKey& offer) { Count(now, offer)->failed += 1; }
 
   // By how much the price of an offer is multiplied when offers are compared: 1 for one
   // without failures, more the larger their share. One failure alone says nothing.
-  double PriceFactor(Micros now, const std::string& offer) const {
+  double PriceFactor(Micros now, const OfferKey& offer) const {
     auto found = boots_.find(offer);
     if (found == boots_.end()) return 1;
     const Boots boots = Faded(now, found->second);
@@ -46,13 +46,13 @@
     const double factor = std::exp2(-half_lives);
     return {boots.up * factor, boots.failed * factor, now};
   }
-  Boots* Count(Micros now, const std::string& offer) {
+  Boots* Count(Micros now, const OfferKey& offer) {
     Boots& boots = boots_[offer];
     boots = Faded(now, boots);
     return &boots;
   }
 
-  std::map<std::string, Boots> boots_;  // as many as there are offers
+  std::map<OfferKey, Boots> boots_;  // as many as there are offers
 };
 
 }  // namespace troutlink
--- a/src/core/fleet/rental_planner.cc
+++ b/src/core/fleet/rental_planner.cc
@@ -16,7 +16,7 @@
 }  // namespace
 
 Core::RentalPlanner::RentalPlanner(const Core& core, Micros now, Plan* plan)
-    : core_(core), now_(now), plan_(plan), in_zone_(InZones(plan->assignments)) {
+    : core_(core), now_(now), plan_(plan), in_zone_(InstancesByZone(plan->assignments)) {
   CollectComing();
   for (const PlaceMachine& machine : plan_->machines) {
     if (machine.usable && machine.spot) spot_cpus_ += Cpus(machine.size.cpus);
@@ -28,12 +28,12 @@
 
 void Core::RentalPlanner::CollectComing() {
   for (const auto& [name, machine] : plan_->assignments.machines) {
-    const MachineType* type = core_.TypeOf(machine.type);
+    const MachineType* type = core_.machine_types_.Find(machine.type);
     if (type == nullptr || !WillCome(machine, *type)) continue;
     coming_.push_back({machine.type, machine.zone, machine.helps, machine.spot, type->size});
   }
   for (const auto& [request, rental] : plan_->assignments.rentals) {
-    const MachineType* type = core_.TypeOf(rental.ask.type);
+    const MachineType* type = core_.machine_types_.Find(rental.ask.type);
     if (type == nullptr) continue;
     for (int i = 0; i < rental.ask.count; ++i) {
       coming_.push_back(
@@ -53,10 +53,9 @@
   return info.since == 0 || now_ - info.since <= slow;
 }
 
-void Core::RentalPlanner::Add(const Offer& offer, bool spot, int count, const std::string& reason) {
-  Want& want = wants_[OfferKey(offer.type->name, offer.zone, spot)];
+void Core::RentalPlanner::Add(const Offer& offer, int count, const std::string& reason) {
+  Want& want = wants_[offer.key().Text()];
   want.offer = offer;
-  want.spot = spot;
   want.count += count;
   if (want.reason.empty()) want.reason = reason;
   in_zone_[offer.zone] += count;
@@ -74,18 +73,23 @@
   int left = WithinTeamLimit(spec, static_cast<int>(std::ceil(unplaced.tasks * share)));
   left = FillComing(spec, left, &spread);
   if (left <= 0) return;
-  Offer offer;
-  const bool spot =
-      spec.spot && !unplaced.tail && core_.PickOffer(now_, spec, spread, true, in_zone_, &offer);
-  if (!spot) {
+  std::optional<Offer> offer;
+  if (spec.spot && !unplaced.tail) offer = CheapestOffer(spec, spread, true);
+  if (!offer) {
     if (spec.spot && core_.IdleTimeWork(spec)) return;
-    if (!core_.PickOffer(now_, spec, spread, false, in_zone_, &offer)) return;
+    offer = CheapestOffer(spec, spread, false);
+    if (!offer) return;
     if (spec.spot && spec.kind == JobKind::kArray && !unplaced.tail) {
-      left = WorthSteady(unplaced, *offer.type, left);
+      left = WorthSteady(unplaced, *offer->type, left);
       if (left <= 0) return;
     }
   }
-  RentFor(spec, offer, spot, left);
+  RentFor(spec, *offer, left);
+}
+
+std::optional<Offer> Core::RentalPlanner::CheapestOffer(const JobSpec& spec,
+                                                        const JobSpread& spread, bool spot) const {
+  return core_.offer_selector_.Cheapest(now_, {spec, spread, spot, in_zone_});
 }
 
 // Beyond its team's limit a job has no use for machines.
@@ -131,16 +135,16 @@
   return std::min(tasks, (unplaced.tasks + placed + waves - 1) / waves - placed);
 }
 
-void Core::RentalPlanner::RentFor(const JobSpec& spec, const Offer& offer, bool spot, int tasks) {
+void Core::RentalPlanner::RentFor(const JobSpec& spec, const Offer& offer, int tasks) {
   const int per_machine = TasksThatFit(spec, offer.type->size);
   int machines = (tasks + per_machine - 1) / per_machine;
   if (spec.spread) machines = std::min(machines, SpreadLimit(spec));
-  Add(offer, spot, machines, spec.id);
+  Add(offer, machines, spec.id);
   for (int i = 0; i < machines; ++i) {
     Amount free = offer.type->size;
     for (int task = 0; task < per_machine && tasks > 0; ++task, --tasks) free -= spec.each;
-    coming_.push_back({offer.type->name, offer.zone, "", spot, free});
-    if (spot) spot_cpus_ += Cpus(offer.type->size.cpus);
+    coming_.push_back({offer.type->name, offer.zone, "", offer.spot, free});
+    if (offer.spot) spot_cpus_ += Cpus(offer.type->size.cpus);
   }
 }
 
@@ -167,10 +171,10 @@
   service.each.cpus = kMilli;
   JobSpread taken;
   for (const std::string& zone : zones) taken.by_zone[zone] = 1;
-  Offer offer;
-  if (!core_.PickOffer(now_, service, taken, false, in_zone_, &offer)) return;
-  Add(offer, false, 1, "a second zone");
-  extra_free_ += offer.type->size.cpus;
+  const std::optional<Offer> offer = CheapestOffer(service, taken, false);
+  if (!offer) return;
+  Add(*offer, 1, "a second zone");
+  extra_free_ += offer->type->size.cpus;
 }
 
 int64_t Core::RentalPlanner::SteadyFree() const {
@@ -190,10 +194,10 @@
   if (missing <= 0) return;
   JobSpec service;
   service.each.cpus = kMilli;
-  Offer offer;
-  if (!core_.PickOffer(now_, service, JobSpread(), false, in_zone_, &offer)) return;
-  const int64_t size = offer.type->size.cpus;
-  Add(offer, false, static_cast<int>((missing + size - 1) / size), "headroom");
+  const std::optional<Offer> offer = CheapestOffer(service, JobSpread(), false);
+  if (!offer) return;
+  const int64_t size = offer->type->size.cpus;
+  Add(*offer, static_cast<int>((missing + size - 1) / size), "headroom");
 }
 
 }  // namespace troutlink
--- a/src/core/fleet/rental_planner.h
+++ b/src/core/fleet/rental_planner.h
@@ -3,6 +3,7 @@
 #define TROUTLINK_CORE_FLEET_RENTAL_PLANNER_H_
 
 #include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -18,7 +19,6 @@
   // Machines of one offer that are wanted, and the first reason for it, for the log.
   struct Want {
     Offer offer;
-    bool spot = false;
     int count = 0;
     std::string reason;
   };
@@ -32,7 +32,8 @@
   // The free room that services keep.
   void AddHeadroom();
 
-  // By offer: few calls, of many machines each.
+  // By the text of the offer's key, in whose order they are rented: few calls, of many machines
+  // each.
   const std::map<std::string, Want>& wants() const { return wants_; }
 
  private:
@@ -46,6 +47,7 @@
   void CollectComing();
   bool WillCome(const AssignedMachine& machine, const MachineType& type) const;
   void AddUnplacedJob(const Plan::Unplaced& unplaced);
+  std::optional<Offer> CheapestOffer(const JobSpec& spec, const JobSpread& spread, bool spot) const;
   // How many of these tasks the team's limit allows at most.
   int WithinTeamLimit(const JobSpec& spec, int tasks) const;
   // Gives room on machines that are on their way to tasks; returns how many are left.
@@ -53,8 +55,8 @@
   // Steady machines cost several times as much: of the tasks of an array that may use spot
   // machines, those for which they are worth it.
   int WorthSteady(const Plan::Unplaced& unplaced, const MachineType& type, int tasks) const;
-  void RentFor(const JobSpec& spec, const Offer& offer, bool spot, int tasks);
-  void Add(const Offer& offer, bool spot, int count, const std::string& reason);
+  void RentFor(const JobSpec& spec, const Offer& offer, int tasks);
+  void Add(const Offer& offer, int count, const std::string& reason);
   // Free cpus on steady machines, those to come included.
   int64_t SteadyFree() const;
 
--- a/src/core/fleet/returns.cc
+++ b/src/core/fleet/returns.cc
@@ -80,7 +80,7 @@
 bool Core::MayReturn(Micros now, const AssignedMachine& machine, PlaceMachine* place, Plan* plan,
                      FreeRoom* room) {
   auto known = machines_.find(machine.name);
-  const MachineType* type = TypeOf(machine.type);
+  const MachineType* type = machine_types_.Find(machine.type);
   if (known == machines_.end() || type == nullptr) return false;
   const MachineInfo& info = known->second;
   if (info.give_up) return true;
@@ -236,7 +236,7 @@
 std::vector<PlaceMachine*> Core::ClearingCandidates(Plan* plan) const {
   std::vector<std::pair<double, PlaceMachine*>> by_cost;
   for (PlaceMachine& machine : plan->machines) {
-    const MachineType* type = TypeOf(machine.type);
+    const MachineType* type = machine_types_.Find(machine.type);
     if (type == nullptr || !OfSteadyPool(machine) || !machine.usable) continue;
     const int64_t used = UsedCpus(machine);
     if (used <= 0 || 2 * used > machine.size.cpus) continue;
--- a/src/core/leadership/leadership.cc
+++ b/src/core/leadership/leadership.cc
@@ -189,7 +189,7 @@
                    .text());
   ForgetDecisions(shard_id);
   InheritMachines(now, shard_id);
-  for (const auto& [id, rental] : shard.replica.assignments.rentals) rental_states_.erase(id);
+  for (const auto& [id, rental] : shard.replica.assignments.rentals) rental_requests_.Forget(id);
   for (const std::string& id : open_jobs_) {
     const JobEntry& entry = jobs_.at(id);
     if (entry.record.shard_id == shard_id) LoadRun(shard_id, id, entry);
@@ -226,6 +226,7 @@
     if (info.first_heard == 0 && (was_missed || !machine.addr.empty())) {
       info.first_heard = info.since;
     }
+    instance_returns_.Restart(name);
     free_since_.erase(name);
   }
 }
@@ -240,7 +241,6 @@
   info->give_up = info->drain = false;
   info->ignored_answers = info->lease_losses = 0;
   info->avoid_until = 0;
-  info->returning = false;
   info->direct_busy = false;
   info->idle_since = 0;
   if (!machine.addr.empty()) info->addr = machine.addr;
--- a/src/core/scheduler/commit.cc
+++ b/src/core/scheduler/commit.cc
@@ -344,7 +344,7 @@
     if (machines_[name].probe) touched.insert(name);  // has just come
   }
   for (const std::string& name : touched) Push(now, shard_id, name);
-  for (const std::string& id : plan.rentals) SendRental(now, shard_id, id);
+  SendRentals(now, shard_id, plan.rentals);
   SendReturns(now, shard_id);
 }
 
--- a/src/core/scheduler/round_window.cc
+++ b/src/core/scheduler/round_window.cc
@@ -47,7 +47,7 @@
 std::set<int> Core::RoomiestChunks(const Shard& shard, size_t most) const {
   std::map<int, int64_t> room;
   for (const MachineUse& use : shard.replica.machine_use) {
-    const MachineType* type = TypeOf(use.machine->type);
+    const MachineType* type = machine_types_.Find(use.machine->type);
     if (type == nullptr || use.info == nullptr || !Usable(now_, *use.machine, *use.info)) continue;
     int64_t free = type->size.cpus;
     for (const MachineUse::Slot& slot : use.slots) {
--- a/src/core/scheduler/rounds.cc
+++ b/src/core/scheduler/rounds.cc
@@ -64,8 +64,8 @@
   std::erase_if(attempts_, [&](const auto& item) {
     return item.second.shard_id == shard_id && item.second.mark != mark_;
   });
-  std::erase_if(returned_,
-                [this](const std::string& name) { return machine_shard_.count(name) == 0; });
+  instance_returns_.DropConfirmed(
+      [this](const std::string& name) { return machine_shard_.count(name) != 0; });
 }
 
 void Core::ForgetPlaced(JobRun* run) {
@@ -91,7 +91,8 @@
   info->required_token = std::max(info->required_token, TokenForEpoch(revision));
   info->since = now;
   info->idle_since = 0;
-  info->give_up = info->drain = info->returning = false;
+  info->give_up = info->drain = false;
+  instance_returns_.Restart(machine.name);
   info->ordered.clear();
   info->ignored_answers = info->lease_losses = 0;
   info->probe = true;
@@ -137,7 +138,7 @@
   out.zone = m.zone;
   out.spot = m.spot;
   out.helps = m.helps;
-  const MachineType* type = TypeOf(m.type);
+  const MachineType* type = machine_types_.Find(m.type);
   if (type != nullptr) {
     out.size = out.free = type->size;
     out.fetch_gb_per_s = type->fetch_gb_per_s;
@@ -165,7 +166,7 @@
     const AssignedMachine& m = *use.machine;
     const bool may =
         !plan->windowed || plan->removals.count(plan->assignments.ChunkOfMachine(m.name)) != 0;
-    if (may && returned_.count(m.name) != 0) {
+    if (may && instance_returns_.Confirmed(m.name)) {
       plan->Change(m.name);
       continue;
     }
@@ -233,7 +234,7 @@
   if (services == 0) return 0;
   // The longer a machine takes to come, the more may be asked for meanwhile.
   Micros boot = 3600 * kSecond;
-  for (const MachineType& t : types_) boot = std::min(boot, t.boot);
+  for (const MachineType& t : machine_types_.types()) boot = std::min(boot, t.boot);
   double scale = std::max(1.0, ToSeconds(boot) / 20.0);
   return std::max(
       static_cast<int64_t>(1000 * settings_.op.service_headroom_cpus() * scale),
@@ -264,7 +265,7 @@
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     Shard& shard = shards_[static_cast<size_t>(shard_id)];
     if (!shard.leadership.is_leader || shard.leadership.acquiring || shard.cycle.committing ||
-        shard.leadership.releasing || now < shard.cycle.not_before || types_.empty()) {
+        shard.leadership.releasing || now < shard.cycle.not_before || machine_types_.empty()) {
       continue;
     }
     const bool due = shard.cycle.dirty || now - shard.cycle.last_commit > kIdleRound;
--- a/src/core/scheduler/tail_help.cc
+++ b/src/core/scheduler/tail_help.cc
@@ -78,14 +78,13 @@
   plan->urgent = true;
   ++counters_.tails;
   const int missing = tail.candidates() - tail.room;
-  Offer offer;
-  if (missing <= 0 ||
-      !PickOffer(now, spec, plan->SpreadOf(spec), false, InZones(plan->assignments), &offer)) {
-    return;
-  }
-  const int helpers = TailHelpers(cpus, missing, spec.each.cpus, offer.type->size.cpus);
+  if (missing <= 0) return;
+  const std::optional<Offer> offer = offer_selector_.Cheapest(
+      now, {spec, plan->SpreadOf(spec), false, InstancesByZone(plan->assignments)});
+  if (!offer) return;
+  const int helpers = TailHelpers(cpus, missing, spec.each.cpus, offer->type->size.cpus);
   if (helpers <= 0) return;
-  AddRental(shard_id, plan, offer, false, helpers, spec.id, "the tail of " + spec.id);
+  AddRental(shard_id, plan, *offer, helpers, spec.id, "the tail of " + spec.id);
   counters_.helpers += static_cast<uint64_t>(helpers);
 }
 
--- a/src/core/scheduler/transfer.cc
+++ b/src/core/scheduler/transfer.cc
@@ -105,7 +105,7 @@
     // One other shard in a commit, or it outgrows the transaction.
     if (!plan->others.empty() && plan->others.count(other_id) == 0) continue;
     const AssignedMachine& m = other.replica.assignments.machines.at(name);
-    const MachineType* type = TypeOf(m.type);
+    const MachineType* type = machine_types_.Find(m.type);
     if (type == nullptr || !spec.each.Fits(type->size) || !plan->MayChange(name)) continue;
     if (!plan->MayChangeOther(other_id, other.replica.assignments, name)) continue;
     PlaceMachine machine = EmptyMachine(now, m);
@@ -117,7 +117,7 @@
       for (const auto& [from, n] : plan->acquirable) {
         if (from != other_id) continue;
         const AssignedMachine& o = other.replica.assignments.machines.at(n);
-        const MachineType* t = TypeOf(o.type);
+        const MachineType* t = machine_types_.Find(o.type);
         if (!o.spot && t != nullptr) steady_free += t->size.cpus;
       }
       if (steady_free - type->size.cpus <
--- a/src/core/store/replica.cc
+++ b/src/core/store/replica.cc
@@ -158,7 +158,7 @@
       return;
     case Key::Kind::kNodeVersion: ApplyNodeVersion(key.id, value, version); return;
     case Key::Kind::kOther:
-      if (name == kTypesKey) ApplyTypes(value);
+      if (name == kTypesKey) machine_types_.LoadStored(value);
       return;
   }
 }
@@ -263,12 +263,6 @@
   }
 }
 
-void Core::ApplyTypes(const std::string& value) {
-  std::optional<std::vector<MachineType>> types = wire::DecodeMachineTypes(value);
-  types_stored_ = value;
-  if (types && types_.empty()) types_ = std::move(*types);
-}
-
 void Core::ApplyErase(Micros now, const std::string& name, uint64_t version) {
   const Key key = ParseKey(name);
   if (key.kind == Key::Kind::kLeadership && key.shard_id < settings_.shard_count()) {
