--- a/tests/fleet_units_test.cc
+++ b/tests/fleet_units_test.cc
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include <map>
+#include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
 #include <utility>
