--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -56,7 +56,30 @@
                 {&effects_, &write_budget_, &state_budget_}, user_api_view_.get(),
                 user_api_view_.get(), user_api_view_.get(), user_api_view_.get()),
       health_(static_cast<int>(settings.op.machine_failures()),
-              static_cast<int>(settings.op.job_failures())) {
+              static_cast<int>(settings.op.job_failures())),
+      machine_types_(&effects_, &cloud_budget_,
+                     [this](Micros t) {
+                       if (!sync_.feed().synced() || !write_budget_.Take(t, 1, 2)) return false;
+                       ++counters_.puts;
+                       return true;
+                     }),
+      instance_lister_(
+          {settings.shard_count(), settings.cloud_rps, settings.list_lag}, &effects_,
+          &cloud_budget_, [this] { return some_silent_; },
+          [this](Micros t, Micros asked, const std::vector<ListedMachine>& instances) {
+            ReconcileInstances(t, asked, instances);
+          }),
+      offer_backoff_(FromSeconds(settings.op.refusal_pause_s())),
+      offer_selector_(&machine_types_, &offer_health_, &offer_backoff_),
+      rental_requests_(
+          &effects_, &cloud_budget_, &offer_backoff_,
+          [this](int shard_id, const RentalAnswer& answer) { OnRentalAnswered(shard_id, answer); }),
+      instance_returns_(
+          &effects_, &cloud_budget_,
+          [this](int shard_id, const std::string& name) {
+            return OnInstanceReturned(shard_id, name);
+          },
+          [this](int shard_id) { MarkDirty(shard_id); }) {
   next_relay_ = FirstMessageId(boot_);
   shards_.reserve(static_cast<size_t>(settings_.shard_count()));
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
--- a/src/core/leadership/leader_election.cc
+++ b/src/core/leadership/leader_election.cc
@@ -148,7 +148,8 @@
     }
     return;
   }
-  if (answer.outcome == TransactionOutcome::kRefused) with_.lease->Drop();  // no such lease: get another
+  if (answer.outcome == TransactionOutcome::kRefused)
+    with_.lease->Drop();  // no such lease: get another
   BackOff(now, shard_id, answer.outcome);
 }
 
--- a/src/core/leadership/leader_election.h
+++ b/src/core/leadership/leader_election.h
@@ -9,13 +9,13 @@
 #include "base/micros.h"
 #include "core/io/effects.h"
 #include "core/io/token_bucket.h"
-#include "core/store/commit_answer.h"
 #include "core/leadership/leadership_observer.h"
 #include "core/leadership/leadership_store.h"
-#include "core/store/node_health.h"
 #include "core/leadership/session_lease_keeper.h"
 #include "core/leadership/session_lease_observer.h"
 #include "core/leadership/shard_leadership.h"
+#include "core/store/commit_answer.h"
+#include "core/store/node_health.h"
 #include "mesh/codec.h"
 
 namespace troutlink {
--- a/src/core/leadership/readiness.h
+++ b/src/core/leadership/readiness.h
@@ -3,8 +3,8 @@
 #define TROUTLINK_CORE_LEADERSHIP_READINESS_H_
 
 #include "base/micros.h"
-#include "core/store/node_health.h"
 #include "core/leadership/peer_table.h"
+#include "core/store/node_health.h"
 
 namespace troutlink {
 
--- a/src/core/leadership/session_lease_keeper.h
+++ b/src/core/leadership/session_lease_keeper.h
@@ -6,9 +6,9 @@
 
 #include "base/micros.h"
 #include "core/io/effects.h"
-#include "core/store/node_health.h"
 #include "core/leadership/session_lease.h"
 #include "core/leadership/session_lease_observer.h"
+#include "core/store/node_health.h"
 
 namespace troutlink {
 
--- a/src/core/replica_events.cc
+++ b/src/core/replica_events.cc
@@ -122,11 +122,7 @@
 
 // --- the rest ----------------------------------------------------------------------------
 
-void Core::OnMachineTypes(const std::string& value) {
-  std::optional<std::vector<MachineType>> types = wire::DecodeMachineTypes(value);
-  types_stored_ = value;
-  if (types && types_.empty()) types_ = std::move(*types);
-}
+void Core::OnMachineTypes(const std::string& value) { machine_types_.LoadStored(value); }
 
 void Core::OnCaughtUp(Source source, Micros complete_up_to) {
   ++(source == Source::kList ? counters_.lists : counters_.watches);
--- a/src/core/store/replica_sync.cc
+++ b/src/core/store/replica_sync.cc
@@ -37,7 +37,7 @@
 void ReplicaSync::ReadListPage(const std::string& after) {
   parts_.effects->Send(Dest::kState, "", "GET", wire::ListTarget(kRoot, after, kListLimit), "",
                        kListTimeout, [this](Micros answered, int status, const std::string& body) {
-                         OnListPage(answered, DecodeListAnswer(status, body));
+                         OnListPage(answered, DecodeStateListAnswer(status, body));
                        });
 }
 
--- a/src/core/store/state_answers.cc
+++ b/src/core/store/state_answers.cc
@@ -18,7 +18,7 @@
   return {WatchOutcome::kChanges, std::move(*reply)};
 }
 
-std::optional<wire::StatePage> DecodeListAnswer(int status, const std::string& body) {
+std::optional<wire::StatePage> DecodeStateListAnswer(int status, const std::string& body) {
   if (status != kOk) return std::nullopt;
   return wire::DecodeList(body);
 }
--- a/src/core/store/state_answers.h
+++ b/src/core/store/state_answers.h
@@ -35,7 +35,7 @@
 // `status`: the HTTP status, or kNoAnswer or kNotSent.
 WatchAnswer DecodeWatchAnswer(int status, const std::string& body);
 // One page of a list; nothing when the list failed.
-std::optional<wire::StatePage> DecodeListAnswer(int status, const std::string& body);
+std::optional<wire::StatePage> DecodeStateListAnswer(int status, const std::string& body);
 
 }  // namespace troutlink
 
--- a/src/core/user_api_view.cc
+++ b/src/core/user_api_view.cc
@@ -72,7 +72,9 @@
   return best == nullptr ? "" : best->label;
 }
 
-const std::vector<MachineType>& Core::UserApiView::MachineTypes() const { return core_.types_; }
+const std::vector<MachineType>& Core::UserApiView::MachineTypes() const {
+  return core_.machine_types_.types();
+}
 
 Micros Core::UserApiView::WallNow(Micros now) const { return core_.WallNow(now); }
 
@@ -88,7 +90,8 @@
 
 void Core::UserApiView::VisitMachines(int shard_id, const MachineVisitor& visit) const {
   for (const MachineUse& use : core_.ShardAt(shard_id).usage.machines) {
-    visit({*use.machine, core_.TypeOf(use.machine->type), use.all, use.by_priority, use.images});
+    visit({*use.machine, core_.machine_types_.Find(use.machine->type), use.all, use.by_priority,
+           use.images});
   }
 }
 
--- a/tests/cancellations_units_test.cc
+++ b/tests/cancellations_units_test.cc
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "core/store/cancellations.h"
 #include "core/leadership/session_lease.h"
+#include "core/store/cancellations.h"
 #include "core/store/replica_feed.h"
 
 namespace troutlink {
--- a/tests/leadership_units_test.cc
+++ b/tests/leadership_units_test.cc
@@ -8,13 +8,13 @@
 #include <variant>
 #include <vector>
 
-#include "core/store/commit_answer.h"
 #include "core/leadership/heartbeat_exchange.h"
 #include "core/leadership/leader_election.h"
-#include "core/store/node_health.h"
 #include "core/leadership/peer_table.h"
 #include "core/leadership/readiness.h"
 #include "core/leadership/session_lease_keeper.h"
+#include "core/store/commit_answer.h"
+#include "core/store/node_health.h"
 #include "wire/messages.h"
 #include "wire/pack.h"
 
