--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -188,6 +188,12 @@
 
 }  // namespace
 
+const Team* Settings::FindTeam(const std::string& name) const {
+  const auto found = std::find_if(teams.begin(), teams.end(),
+                                  [&name](const Team& team) { return team.name == name; });
+  return found == teams.end() ? nullptr : &*found;
+}
+
 Result<Settings, SettingsFault> ParseSettings(const std::string& json) {
   const Json document = Json::parse(json, nullptr, false);
   if (document.is_discarded()) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -103,6 +103,8 @@
   int own_shard = 0;
   // One shard for each controller.
   [[nodiscard]] int shard_count() const { return static_cast<int>(labels.size()); }
+  // The team of that name; null if the platform has none.
+  [[nodiscard]] const Team* FindTeam(const std::string& name) const;
 };
 
 // The platform's settings in a JSON document, with the defaults of the operators' settings.
--- a/src/core/api/job_admission.cc
+++ b/src/core/api/job_admission.cc
@@ -9,13 +9,6 @@
 
 bool IsTemporary(AdmissionFault fault) { return fault >= AdmissionFault::kNotReady; }
 
-const Team* JobAdmission::FindTeam(const std::string& name) const {
-  for (const Team& team : settings_->teams) {
-    if (team.name == name) return &team;
-  }
-  return nullptr;
-}
-
 bool JobAdmission::FitsSomeMachine(const JobSpec& spec) const {
   const std::vector<MachineType>& types = status_->MachineTypes();
   return std::any_of(types.begin(), types.end(), [&](const MachineType& type) {
@@ -26,7 +19,7 @@
 }
 
 std::optional<AdmissionError> JobAdmission::CheckFeasible(const JobSpec& spec) const {
-  const Team* team = FindTeam(spec.team);
+  const Team* team = settings_->FindTeam(spec.team);
   if (team == nullptr) return AdmissionError{AdmissionFault::kUnknownTeam, "unknown team"};
   if (!FitsSomeMachine(spec)) {
     return AdmissionError{AdmissionFault::kFitsNoMachine,
--- a/src/core/api/job_admission.h
+++ b/src/core/api/job_admission.h
@@ -51,7 +51,6 @@
  private:
   // Why the job can never run; nothing: it can.
   std::optional<AdmissionError> CheckFeasible(const JobSpec& spec) const;
-  const Team* FindTeam(const std::string& name) const;
   bool FitsSomeMachine(const JobSpec& spec) const;
 
   const Settings* const settings_;
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -87,21 +87,14 @@
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     shards_.emplace_back(replica_.records(shard_id), election_.Of(shard_id));
   }
-  for (const PeerController& sibling : settings_.peers) {
-    peers_.Add(sibling.label);
-    cancellations_.AddPeer(sibling.label);
+  for (const PeerController& peer : settings_.peers) {
+    peers_.Add(peer.label);
+    cancellations_.AddPeer(peer.label);
   }
 }
 
 Core::~Core() = default;
 
-const Team* Core::FindTeam(const std::string& name) const {
-  for (const Team& team : settings_.teams) {
-    if (team.name == name) return &team;
-  }
-  return nullptr;
-}
-
 // What every input may have made possible.
 void Core::After(Micros now) {
   user_api_.CheckQueued(now);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -623,7 +623,6 @@
   // --- plumbing (core.cc) --------------------------------------------------------------
   void ShareLimits(Micros now);
   void After(Micros now);
-  const Team* FindTeam(const std::string& name) const;
   Micros WallNow(Micros now) const { return now + wall_offset_; }
 
   const Settings settings_;
--- a/src/core/scheduler/pending_jobs.cc
+++ b/src/core/scheduler/pending_jobs.cc
@@ -73,7 +73,7 @@
     if (left <= 0 || now < health_.NextStart(id)) continue;
     // A gang starts whole: those that are left of a broken one leave first.
     if (spec.kind == JobKind::kGang && run.placed > 0) continue;
-    const Team* team = FindTeam(spec.team);
+    const Team* team = settings_.FindTeam(spec.team);
     if (team == nullptr) continue;
     bool within =
         team->cpus > 0 && everywhere[spec.team].cpus + spec.task_resources.cpus <= team->cpus;
--- a/src/core/scheduler/placer.cc
+++ b/src/core/scheduler/placer.cc
@@ -179,7 +179,7 @@
 
 Core::Placer::Job Core::Placer::Begin(const PendingJob& waiting) {
   const JobSpec& spec = *waiting.spec;
-  Job job(waiting, *core_.FindTeam(spec.team));
+  Job job(waiting, *core_.settings_.FindTeam(spec.team));
   if (!MayUseReservedQuota(waiting)) job.kept = core_.QuotaReservedForServices(spec, job.team);
   job.gang = spec.kind == JobKind::kGang;
   job.whole = MustStartWhole(waiting);
--- a/src/core/scheduler/rental_planner.cc
+++ b/src/core/scheduler/rental_planner.cc
@@ -95,7 +95,7 @@
 
 // Beyond its team's limit a job has no use for machines.
 int Core::RentalPlanner::WithinTeamLimit(const JobSpec& spec, int tasks) const {
-  const Team* team = core_.FindTeam(spec.team);
+  const Team* team = core_.settings_.FindTeam(spec.team);
   if (team == nullptr || team->cpus_max <= 0 || spec.task_resources.cpus <= 0) return tasks;
   return std::min(tasks, static_cast<int>(team->cpus_max / spec.task_resources.cpus));
 }
--- a/src/core/scheduler/scheduling_cycle.cc
+++ b/src/core/scheduler/scheduling_cycle.cc
@@ -363,7 +363,7 @@
                    std::to_string(write_budget_.have()) + " writes, " +
                    std::to_string(cloud_budget_.have()) + " calls left");
   for (const auto& [team_name, tasks] : plan.limited) {
-    const Team* team = FindTeam(team_name);
+    const Team* team = settings_.FindTeam(team_name);
     auto used = plan.use.teams.find(team_name);
     if (team == nullptr || used == plan.use.teams.end()) continue;
     const QuotaShare share =
--- a/tests/runtime_peers_units_test.cc
+++ b/tests/runtime_peers_units_test.cc
@@ -45,6 +45,21 @@
   std::vector<Received> received;
 };
 
+// A peer that accepts connections and reads nothing from them by itself.
+class AcceptingPeer {
+ public:
+  explicit AcceptingPeer(EventLoop& loop)
+      : listener(loop.ref(), 1, [this](UniqueFd fd) { accepted.push_back(std::move(fd)); }) {
+    const auto opened = listener.Open(AnyLoopbackPort());
+    EXPECT_TRUE(opened);
+    address = *opened;
+  }
+
+  std::vector<UniqueFd> accepted;
+  Listener listener;
+  Endpoint address;
+};
+
 mesh::Message MakeMessage(uint64_t id) { return mesh::RelayedAgentHeartbeat{id, "body"}; }
 
 std::string LabelFrame(const std::string& label) {
@@ -98,18 +113,16 @@
 
 TEST(OutgoingPeerConnection, SendsItsLabelBeforeTheFirstMessage) {
   EventLoop loop;
-  std::vector<UniqueFd> accepted;
-  Listener listener(loop.ref(), 1, [&](UniqueFd fd) { accepted.push_back(std::move(fd)); });
-  const auto address = listener.Open(AnyLoopbackPort());
-  ASSERT_TRUE(address);
-  OutgoingPeerConnection connection(loop.ref(), "a", *address);
+  AcceptingPeer peer(loop);
+  OutgoingPeerConnection connection(loop.ref(), "a", peer.address);
   connection.Send(MakeMessage(1));
   const std::string expected = LabelFrame("a") + mesh::Encode(MakeMessage(1));
   std::string bytes;
   ASSERT_TRUE(loop.RunUntil([&] {
     std::array<char, kReadBytes> buffer{};
-    if (accepted.empty()) return false;
-    if (const auto count = Receive(accepted[0].get(), buffer)) bytes.append(buffer.data(), *count);
+    if (peer.accepted.empty()) return false;
+    if (const auto count = Receive(peer.accepted[0].get(), buffer))
+      bytes.append(buffer.data(), *count);
     return bytes.size() >= expected.size();
   }));
   EXPECT_EQ(bytes, expected);
@@ -117,26 +130,23 @@
 
 TEST(OutgoingPeerConnection, ClosesAConnectionThatTakesNoBytes) {
   EventLoop loop;
-  std::vector<UniqueFd> accepted;
-  Listener listener(loop.ref(), 1, [&](UniqueFd fd) { accepted.push_back(std::move(fd)); });
-  const auto address = listener.Open(AnyLoopbackPort());
-  ASSERT_TRUE(address);
-  OutgoingPeerConnection connection(loop.ref(), "a", *address);
+  AcceptingPeer peer(loop);
+  OutgoingPeerConnection connection(loop.ref(), "a", peer.address);
   connection.Send(MakeMessage(1));
-  ASSERT_TRUE(loop.RunUntil([&] { return accepted.size() == 1; }));
+  ASSERT_TRUE(loop.RunUntil([&] { return peer.accepted.size() == 1; }));
   loop.RunReady();
   // More than the sockets of both sides hold, so that bytes are left; then nothing is read.
   const mesh::Message large = mesh::RelayedAgentHeartbeat{2, std::string(size_t{200} * 1024, 'x')};
   for (int count = 0; count < 100; ++count) connection.Send(large);
   connection.Tick(SteadyNow() + kSecond);
-  EXPECT_TRUE(accepted.size() == 1);
+  EXPECT_TRUE(peer.accepted.size() == 1);
   connection.Tick(SteadyNow() + 3 * kSecond);
   // What was sent can still be read; after it comes the end.
   SocketError error = SocketError::kWouldBlock;
   ASSERT_TRUE(loop.RunUntil([&] {
     std::array<char, kReadBytes> buffer{};
-    auto count = Receive(accepted[0].get(), buffer);
-    while (count) count = Receive(accepted[0].get(), buffer);
+    auto count = Receive(peer.accepted[0].get(), buffer);
+    while (count) count = Receive(peer.accepted[0].get(), buffer);
     error = count.error().code;
     return error != SocketError::kWouldBlock;
   }));
--- a/tests/settings_units_test.cc
+++ b/tests/settings_units_test.cc
@@ -54,6 +54,13 @@
 
 auto BadField(const std::string& text) { return HoldsError(SettingsFault::kBadField, Eq(text)); }
 
+TEST(PlatformSettings, FindATeamByItsName) {
+  const auto parsed = ParseSettings(PlatformDocument().dump());
+  ASSERT_THAT(parsed, HoldsValue());
+  EXPECT_EQ(parsed->FindTeam("blue"), &parsed->teams[0]);
+  EXPECT_EQ(parsed->FindTeam("green"), nullptr);
+}
+
 TEST(PlatformSettings, AreReadInFull) {
   const auto parsed = ParseSettings(PlatformDocument().dump());
   ASSERT_THAT(parsed, HoldsValue());
