--- a/src/core/scheduler/adoption.cc
+++ b/src/core/scheduler/adoption.cc
@@ -1,4 +1,4 @@
-// Which instances that no assignment table has come into a shard's table.
+// Adds instances that are in no assignment table to a shard's table.
 #include <algorithm>
 
 #include "base/ids.h"
@@ -9,16 +9,16 @@
 
 namespace {
 constexpr Micros kUnknownInstanceDelay = 20 * kSecond;
-constexpr int kMaxAdopted = 50;  // strays, by one round
+constexpr int kMaxAdopted = 50;  // unassigned instances per cycle
 }  // namespace
 
-// Brings machines that nobody has into the shard's assignment table.
+// Adds unassigned instances to the plan of the shard.
 void Core::PlanAdoption(Micros now, int shard_id, Plan* plan) {
   AdoptRented(plan);
   AdoptUnknownInstances(now, shard_id, plan);
 }
 
-// The machines of rentals that were answered.
+// Adds the instances of rental requests that the cloud has answered.
 void Core::AdoptRented(Plan* plan) {
   std::map<std::string, Rental>& rentals = plan->assignments.rentals;
   for (auto rental = rentals.begin(); rental != rentals.end();) {
@@ -31,7 +31,7 @@
     for (const std::string& name : *rented) {
       if (replica_.ShardOfMachine(name) >= 0) continue;
       if (!plan->MayChange(name)) {
-        all = false;  // in a later round; until then the rental stays on record
+        all = false;  // adopted by a later cycle; the rental stays recorded until then
         continue;
       }
       AssignedMachine machine;
@@ -40,7 +40,7 @@
       machine.zone = rental->second.ask.zone;
       machine.spot = rental->second.ask.spot;
       machine.helps = rental->second.helps;
-      auto known = unassigned_agents_.find(name);  // it may be up already
+      auto known = unassigned_agents_.find(name);  // the agent may be up before the cloud's answer
       if (known != unassigned_agents_.end()) machine.addr = known->second.addr;
       plan->assignments.machines[name] = std::move(machine);
       plan->Change(name);
@@ -50,8 +50,8 @@
   }
 }
 
-// Machines that are in no assignment table: those that report, and those that the cloud's list
-// has shown for a while.
+// Adds instances that are in no assignment table: those whose agent sends heartbeats, and those
+// that the cloud has listed for a while.
 void Core::AdoptUnknownInstances(Micros now, int shard_id, Plan* plan) {
   int adopted = 0;
   for (const auto& [name, report] : unassigned_agents_) {
@@ -65,8 +65,8 @@
     machine.spot = report.spot;
     if (AdoptUnknownInstance(shard_id, std::move(machine), plan)) ++adopted;
   }
-  // A list may show what was given back long ago. At the very first start, when
-  // no shard has rented anything yet, it can be trusted at once.
+  // The cloud's list lags and may show instances that were returned. It is trusted at once only on
+  // the first start, before any shard has rented anything.
   const bool first_start = std::all_of(shards_.begin(), shards_.end(), [](const Shard& shard) {
     return shard.replica.assignments.next_number == 1;
   });
@@ -89,8 +89,8 @@
   }
 }
 
-// Each shard adopts its part of the strays, by hash of their names. The commit is conditional
-// on all assignment tables, so that no two shards take the same machine.
+// Each shard adopts the unassigned instances that hash to it. The commit is conditional on all
+// assignment tables, so that two shards cannot adopt the same instance.
 bool Core::AdoptUnknownInstance(int shard_id, AssignedMachine machine, Plan* plan) {
   const std::string name = machine.name;
   if (static_cast<int>(StableHash(name) % shards_.size()) != shard_id) return false;
@@ -106,7 +106,7 @@
   return true;
 }
 
-// Whether the machine may be of a rental whose answer is still to come.
+// Whether the instance may belong to a rental request that is still unanswered.
 bool Core::MayBeRented(int shard_id, const AssignedMachine& machine, const Plan& plan) const {
   for (int id = 0; id < settings_.shard_count(); ++id) {
     const AssignmentTable& table =
--- a/src/core/scheduler/commit.cc
+++ b/src/core/scheduler/commit.cc
@@ -1,4 +1,4 @@
-// Commits: one transaction for all that a round decided.
+// Commits the decisions of a scheduling cycle in one transaction.
 #include <algorithm>
 #include <memory>
 
@@ -11,26 +11,26 @@
 constexpr Micros kCommitTimeout = 1500 * kMillisecond;
 constexpr Micros kCleanupPeriod = 700 * kMillisecond;
 constexpr Micros kRoundPeriod = 80 * kMillisecond;
-// A transaction's limit as the platform's protocol states it, with some room
-// left for its frame.
+// Limit of the key-value store for one transaction, less some room for the request's frame.
 constexpr int64_t kMaxTxnBytes = int64_t{62} * 1024;
 constexpr int64_t kMaxChunkBytes = int64_t{13} * 1024;
 constexpr int kMaxChunks = 1024;
-constexpr int64_t kFullPercent = 95;  // of a value's limit
-constexpr int kWritesKept = 2;        // of a transaction, for what follows the jobs that move
-constexpr int kSmallTxnOps = 8;       // a transaction of fewer writes has none to spare
-// Writes that a commit leaves in the budget for more important ones.
+constexpr int64_t kFullPercent = 95;  // of the size limit of a value
+constexpr int kWritesKept = 2;   // writes left for the rest of the transaction after the moved jobs
+constexpr int kSmallTxnOps = 8;  // below this a transaction has no writes to leave
+// Tokens of the write budget that a commit of each urgency leaves untouched.
 constexpr double kCriticalReserve = 2;
 constexpr double kUrgentReserve = 4;
 constexpr double kCleanupReserve = 6;
 constexpr Micros kNoWritesPause = 50 * kMillisecond;
-constexpr int kReducedCycles = 4;  // after a commit that did not fit
+constexpr int kReducedCycles = 4;  // after a commit that exceeded the transaction limit
 constexpr Micros kFailedCommitPause = 200 * kMillisecond;
-constexpr Micros kTransferPause = 250 * kMillisecond;  // after a conflict, for other shards' tables
-constexpr Micros kConflictPause = 10 * kMillisecond;   // doubles with each conflict in a row
+constexpr Micros kTransferPause =
+    250 * kMillisecond;  // for transfers between shards, after a conflict
+constexpr Micros kConflictPause = 10 * kMillisecond;  // doubled for each consecutive conflict
 constexpr int kConflictDoublings = 5;
 
-// Chunks whose stored content differs between two states of an assignment table.
+// Returns the chunks whose stored content differs between two versions of an assignment table.
 std::set<int> ChangedChunks(const AssignmentTable& before, const AssignmentTable& after) {
   std::set<int> out;
   if (before.next_number != after.next_number || before.rentals != after.rentals ||
@@ -54,7 +54,7 @@
 }
 }  // namespace
 
-// Commits all that a round decided, unless it can wait for what the next round adds.
+// Commits the plan, unless the commit may be delayed and batched with the next cycle's.
 void Core::Commit(Micros now, int shard_id, Plan* plan) {
   Shard& shard = ShardAt(shard_id);
   StateTxn txn;
@@ -87,11 +87,11 @@
              std::make_shared<std::vector<StateWrite>>(std::move(txn.writes)), std::move(body));
 }
 
-// Writes the chunks of a shard's table whose machines changed, and no others.
+// Writes the changed chunks of a shard's assignment table.
 void Core::WriteTable(int shard_id, AssignmentTable* assignments, StateTxn* txn) const {
   const Shard& shard = ShardAt(shard_id);
   std::set<int> changed = ChangedChunks(shard.replica.assignments, *assignments);
-  // The header is in every commit: its version is that of the whole table.
+  // Every commit writes the header, so that its version is the version of the whole table.
   if (!changed.empty() || shard.replica.chunks.count(0) == 0) changed.insert(0);
   const int64_t full = cluster_version_.limits().value_bytes * kFullPercent / 100;
   bool split = false;
@@ -103,10 +103,10 @@
       values.emplace_back(chunk, EncodeChunk(*assignments, chunk));
       largest = std::max(largest, StoredSize(values.back().second));
     }
-    // Well before a value is full its chunk is divided, one a commit; only one
-    // that would not fit at all makes it more.
+    // A chunk is split well before its value is full, at most one in a commit unless a value
+    // exceeds the limit.
     const bool divide = largest > full || (!split && largest > std::min(kMaxChunkBytes, full));
-    // The compact form grows by commits of its own (GrowTable).
+    // GrowTable() splits chunks of the compact form.
     if (assignments->form == TableForm::kCompact) break;
     if (!divide || assignments->chunks >= kMaxChunks) break;
     changed.insert({0, assignments->ChunkToSplit(), assignments->chunks});
@@ -119,7 +119,7 @@
   }
 }
 
-// Writes a job's record on the condition that it is the one in the replica.
+// Writes a job record, conditional on the version in the replica.
 void Core::WriteJob(const std::string& id, uint64_t version, const JobRecord& record,
                     StateTxn* txn) {
   txn->conditions.push_back({JobKey(id), version});
@@ -129,7 +129,7 @@
 JobRecord Core::DoneRecord(Micros now, const JobEntry& job) const {
   JobRecord record = job.record;
   record.state = JobState::kDone;
-  // Version 1 neither writes nor needs the time.
+  // Version 1 does not know this field.
   if (cluster_version_.all_current()) record.finished = WallNow(now);
   return record;
 }
@@ -163,10 +163,10 @@
   txn->writes.push_back({ProgressKey(shard_id), FittingProgress(ProgressOf(shard_id)), 0, false});
 }
 
-// Whether a commit goes out in this round, or waits so that one write takes more.
+// Whether to commit now rather than batch the changes with the next cycle's.
 bool Core::MayCommitNow(Micros now, Shard* shard, const Plan& plan) {
   if (!plan.urgent && !plan.progress) {
-    // Removals alone.
+    // The plan only removes finished attempts or returned machines.
     if (shard->cycle.cleanup_at == 0) {
       shard->cycle.cleanup_at = now + kCleanupPeriod;
       return false;
@@ -179,13 +179,12 @@
   return false;
 }
 
-// Takes so many writes from the budget that a node's shards share.
+// Takes the writes of a commit from the budget that all shards led by this node share.
 bool Core::ReserveWrites(Micros now, int shard_id, const Plan& plan, size_t writes) {
   const double reserve = plan.critical ? kCriticalReserve
                          : plan.urgent ? kUrgentReserve
                                        : kCleanupReserve;
-  // Shards of one node take turns: a shard with large commits once waited for a minute
-  // while another one's small ones took each write that there was.
+  // Round robin between shards, so that one with small commits cannot starve one with large ones.
   if (write_turns_.MayTake(now, shard_id)) {
     const bool taken = write_budget_.Take(now, static_cast<double>(writes), reserve);
     write_turns_.Took(now, shard_id, taken);
@@ -197,9 +196,9 @@
   return false;
 }
 
-// A commit holds only under the leadership that decided it, and only if nothing that it
-// builds on has changed. Another shard's table changes under that shard's leadership, so that an
-// election there voids what was decided before.
+// Makes the commit conditional on the leadership epoch under which it was decided and on the
+// records that it read. For another shard's table it is also conditional on that shard's leadership
+// record, so that an election there invalidates the commit.
 void Core::AddConditions(int shard_id, const Plan& plan, StateTxn* txn) const {
   txn->conditions.push_back({LeadershipKey(shard_id), ShardAt(shard_id).leadership.epoch});
   for (int id = 0; id < settings_.shard_count(); ++id) {
@@ -216,8 +215,8 @@
   }
 }
 
-// Version 1 commits without a table's header where only machines of other chunks change: while
-// a node may have it, each chunk is a condition.
+// A node of version 1 may write a chunk without the header: until all nodes are current, each chunk
+// is a condition.
 void Core::AddTableConditions(int shard_id, StateTxn* txn) const {
   const Shard& shard = ShardAt(shard_id);
   AddHeaderCondition(shard_id, txn);
@@ -244,12 +243,12 @@
          static_cast<int>(txn.conditions.size()) <= cluster_version_.limits().conditions();
 }
 
-// A round decided more than a transaction holds and nothing of it was sent: the next rounds
+// Handles a plan that exceeds the limits of a transaction: nothing was sent, and the next cycles
 // decide less.
 void Core::ReduceNextCycles(Micros now, int shard_id, const Plan& plan) {
   Shard& shard = ShardAt(shard_id);
   effects_.Log(LogLine::Level::kInfo,
-               "shard " + std::to_string(shard_id) + " decided more than fits");
+               "shard " + std::to_string(shard_id) + ": plan exceeds the transaction limits");
   ++counters_.oversized;
   shard.cycle.narrow = kReducedCycles;
   shard.cycle.batch = std::max<uint32_t>(1, shard.cycle.batch / 4);
@@ -299,20 +298,19 @@
     OnCommitConflict(now, &shard, plan, reply ? reply->failed : std::vector<std::string>());
     return;
   }
-  // Unknown: the next round commits on the same stamps, and so either
-  // voids this transaction or learns that it applied.
+  // The outcome is unknown. The next cycle commits on the same versions: that either fails, which
+  // shows that this transaction was applied, or invalidates it.
   if (status == kNoAnswer) ++counters_.commit_unknown;
   if (status == 429) write_budget_.Drain(now);
   if (status == 400) {
-    // The limits may have come before this node knew that all nodes can keep to them.
+    // Smaller limits may be in force before this node sees that all nodes support them.
     ++counters_.refused_by_limits;
     shard.cycle.narrow = kReducedCycles;
   }
   shard.cycle.not_before = now + kFailedCommitPause;
 }
 
-// The replica is behind; the watch is about to tell. The leadership itself may be gone,
-// which the watch or a peer tells as well.
+// The replica is stale; the watch will deliver the missing changes, or the loss of the leadership.
 void Core::OnCommitConflict(Micros now, Shard* shard, const Plan& plan,
                             const std::vector<std::string>& failed) {
   ++counters_.commit_conflicts;
@@ -342,7 +340,7 @@
   }
   counters_.acquired_machines += plan.others.empty() ? 0 : 1;
   for (const auto& [name, m] : shard.replica.assignments.machines) {
-    if (machines_[name].probe) touched.insert(name);  // has just come
+    if (machines_[name].probe) touched.insert(name);  // recently assigned
   }
   for (const std::string& name : touched) SendDirectCommands(now, shard_id, name);
   SendRentals(now, shard_id, plan.rentals);
--- a/src/core/scheduler/job_records.cc
+++ b/src/core/scheduler/job_records.cc
@@ -1,7 +1,7 @@
-// Commits of job records and of progress, which change no assignment table.
+// Commits job records and task progress, which need no change of the assignment table.
 //
-// Under a state service that takes few changes in a transaction they have transactions of their
-// own, conditional on the leadership record and on the records themselves.
+// With the compact table form they are committed apart from the table, conditional on the
+// leadership record and on the records themselves, as few writes fit into one transaction.
 #include <algorithm>
 #include <utility>
 
@@ -12,15 +12,15 @@
 namespace troutlink {
 
 namespace {
-constexpr int64_t kPagePercent = 60;  // of a value's limit, for the pages of progress
+constexpr int64_t kPagePercent = 60;  // of the size limit of a value
 constexpr int64_t kFullPagePercent = 90;
 constexpr int64_t kMostPages = 64;
-// Of values in one transaction, of the 64 KiB that it may have: the last one may exceed this.
+// Limit for the values of one transaction (64 KiB in all); the last value may exceed it.
 constexpr size_t kMostValueBytes = size_t{40} * 1024;
 }  // namespace
 
-// Whether the transaction has room for one more write with a condition of its own. Two more
-// conditions are kept for the leadership record and a table's header.
+// Whether the transaction can take one more write with its condition. Two conditions are kept for
+// the leadership record and the table header.
 bool Core::FitsAnotherWrite(const StateTxn& txn) const {
   size_t bytes = 0;
   for (const StateWrite& write : txn.writes) bytes += write.value.size();
@@ -29,10 +29,11 @@
          static_cast<int>(txn.conditions.size()) + 2 < cluster_version_.limits().conditions();
 }
 
-// True: a commit was sent, or waits for its turn to write; no round now.
+// Returns true if a commit was sent or waits for write budget; then no scheduling cycle runs now.
 bool Core::CommitJobRecords(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
-  if (std::exchange(shard.cycle.records_committed, false)) return false;  // a round has its turn
+  if (std::exchange(shard.cycle.records_committed, false))
+    return false;  // alternate with scheduling cycles
   StateTxn txn;
   WriteCascadeCancelled(shard_id, &txn);
   bool progress = false;
@@ -46,8 +47,7 @@
   return CommitWithoutPlan(now, shard_id, shard.replica.assignments, std::move(txn), progress);
 }
 
-// Jobs that depend on a cancelled one. None of their tasks ever started, as the cancelled job
-// will never be done.
+// Writes the cancellation of jobs whose dependency was cancelled. None of their tasks has started.
 void Core::WriteCascadeCancelled(int shard_id, StateTxn* txn) const {
   for (const std::string& id : jobs_.cascade_cancelled()) {
     if (!FitsAnotherWrite(*txn)) return;
@@ -71,7 +71,7 @@
   }
 }
 
-// Writes pages that changed, as many as there is room for; true if there are any.
+// Writes as many changed pages as fit into the transaction. Returns whether there are any.
 bool Core::WriteProgressPages(Micros now, int shard_id, StateTxn* txn) {
   Shard& shard = ShardAt(shard_id);
   const Progress progress = ProgressOf(shard_id);
@@ -111,7 +111,8 @@
   return progress;
 }
 
-// Losing progress only repeats work: what does not fit a value is left out.
+// Encodes progress within the size limit of a value. Jobs that do not fit are left out: losing
+// progress only repeats work.
 std::string Core::FittingProgress(Progress progress) const {
   std::string value = EncodeProgress(progress);
   while (StoredSize(value) > cluster_version_.limits().value_bytes * kFullPagePercent / 100 &&
--- a/src/core/scheduler/order.h
+++ b/src/core/scheduler/order.h
@@ -1,4 +1,4 @@
-// In which order jobs wait. Pure.
+// Order of pending jobs by their latest start times.
 #ifndef TROUTLINK_CORE_SCHEDULER_ORDER_H_
 #define TROUTLINK_CORE_SCHEDULER_ORDER_H_
 
@@ -10,15 +10,14 @@
 namespace troutlink {
 
 struct OrderItem {
-  const std::vector<Micros>* limits = nullptr;  // latest starts, the earliest first
-  double work = 0;                              // cpu seconds that wait
-  size_t tier = 0;  // the limit that it is to keep; past the last one: none
+  const std::vector<Micros>* limits = nullptr;  // time of day, ascending
+  double work = 0;                              // pending work in CPU seconds
+  size_t tier = 0;  // index of the latest start to meet; past the end if all are missed
 };
 
-// Of jobs that are served by their limits, puts off to their next limit those with
-// most work until all others can be in time: with one server, that leaves the fewest
-// late (Moore 1968). `ahead` is the work that comes before all of them, `capacity`
-// how much of it is done in a second.
+// Moore-Hodgson: while a job would miss its latest start, defers the job with the most work to its
+// next one, which minimises the number of late jobs on one server. `ahead` is the work, in CPU
+// seconds, that is served before all of these; `capacity` is in CPUs.
 void DeferLargest(Micros now, double capacity, double ahead, std::vector<OrderItem>* items);
 
 }  // namespace troutlink
--- a/src/core/scheduler/partial_cycle.cc
+++ b/src/core/scheduler/partial_cycle.cc
@@ -1,4 +1,4 @@
-// Which chunks of an assignment table a round may change.
+// Selects the chunks of an assignment table that a scheduling cycle may change.
 #include <algorithm>
 #include <utility>
 
@@ -9,16 +9,16 @@
 
 namespace {
 constexpr int kMaxChunksAtOnce = 4;
-constexpr int kMaxSmallChunksAtOnce = 7;  // the same of the compact form
+constexpr int kMaxSmallChunksAtOnce = 7;  // of the compact form
 }  // namespace
 
-// A transaction holds so many changes and so many bytes. An assignment table of more
-// chunks than that is changed a few chunks at a time, in turn.
+// An assignment table with more chunks than fit into one transaction is changed a few chunks at a
+// time, in rotation.
 void Core::SelectChunksToChange(Shard* shard, Plan* plan) const {
   const int ops = cluster_version_.limits().txn_ops;
   const bool compact = plan->assignments.form == TableForm::kCompact;
-  // Small values hold few machines each: a commit changes as many of them as it may, so that the
-  // header is a small part of what it writes.
+  // Values of the compact form hold few machines: a commit changes as many of them as it may, which
+  // amortises the header that every commit writes.
   int most =
       compact ? std::min(ops, kMaxSmallChunksAtOnce) : std::clamp(ops / 2, 3, kMaxChunksAtOnce);
   if (shard->cycle.narrow > 0) {
@@ -29,7 +29,7 @@
   if (plan->assignments.chunks <= most) return;
   plan->partial = true;
   plan->most_chunks = static_cast<size_t>(most);
-  plan->window.insert(0);  // numbers, shares and rentals are there
+  plan->window.insert(0);  // attempt numbers, quota shares and rentals
   if (shard->cycle.cleanup) shard->cycle.dirty = true;
   if (compact && (++shard->cycle.partial_cycles % 2) == 0) {
     plan->removals = ChunksWithMostFreeCapacity(*shard, static_cast<size_t>(most) - 1);
@@ -42,8 +42,8 @@
   shard->cycle.next_chunk = (shard->cycle.next_chunk + turns) % plan->assignments.chunks;
 }
 
-// The chunks whose machines have most room: most starts for one commit. Every second round takes
-// them, the others the chunks that come first, as some work fits on few machines only.
+// Returns the chunks whose machines have the most free CPUs. Every second cycle uses them; the
+// other cycles rotate through all chunks, as some jobs fit only on particular machines.
 std::set<int> Core::ChunksWithMostFreeCapacity(const Shard& shard, size_t most) const {
   std::map<int, int64_t> room;
   for (const MachineUsage& use : shard.usage.machines) {
--- a/src/core/scheduler/pending_jobs.cc
+++ b/src/core/scheduler/pending_jobs.cc
@@ -1,4 +1,4 @@
-// Which tasks wait in a shard, and in which order they are served.
+// Collects a shard's jobs with pending tasks and orders them.
 #include <algorithm>
 #include <tuple>
 
@@ -10,14 +10,14 @@
 namespace troutlink {
 
 namespace {
-// A job that waited too long without a start counts as at least so important.
+// Minimum effective priority of a job that has waited too long for its first start.
 constexpr Priority kAgedRank = Priority::kHigh;
 constexpr double kPeakFades = 60;           // seconds
-constexpr Micros kNoLimit = 600 * kSecond;  // of work that nobody waits for by a certain time
+constexpr Micros kNoLimit = 600 * kSecond;  // for jobs without a deadline or objective
 }  // namespace
 
-// By the deadline, which counts from the submission, by what the objectives expect of the class
-// from the moment at which the job may start, and by what depends on it; earliest first.
+// Latest start times of a job, ascending: from its deadline, counted from submission; from the
+// objectives of its class, counted from when it became ready; and from the jobs that depend on it.
 std::vector<Micros> Core::LatestStarts(const JobEntry& job) const {
   const JobSpec& spec = job.record.spec;
   const Micros submitted = job.record.submitted;
@@ -43,9 +43,9 @@
 
 Micros Core::LatestStart(const JobEntry& job) const { return LatestStarts(job).front(); }
 
-// What each team uses over all shards, with this shard's as its plan has it.
+// Each team's usage over all shards, with the planned usage for this shard.
 std::map<std::string, QuotaShare> Core::UsageInAllShards(int shard_id, const Plan& plan) const {
-  std::map<std::string, QuotaShare> everywhere = plan.use.teams;  // over all shards
+  std::map<std::string, QuotaShare> everywhere = plan.use.teams;
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     if (other_id == shard_id) continue;
     for (const auto& [team, use] : shards_[static_cast<size_t>(other_id)].usage.total.teams) {
@@ -56,7 +56,7 @@
   return everywhere;
 }
 
-// All that waits for a start in a shard.
+// Collects the jobs of a shard that have tasks to start.
 std::vector<Core::PendingJob> Core::CollectPendingJobs(Micros now, int shard_id, const Plan& plan) {
   std::map<std::string, QuotaShare> everywhere = UsageInAllShards(shard_id, plan);
   std::vector<PendingJob> waiting;
@@ -71,18 +71,18 @@
       array_cpus += static_cast<double>((left + run.placed) * spec.task_resources.cpus);
     }
     if (left <= 0 || now < health_.NextStart(id)) continue;
-    // A gang starts whole: those that are left of a broken one leave first.
+    // A gang starts as a whole: remaining tasks of a failed gang must end first.
     if (spec.kind == JobKind::kGang && run.placed > 0) continue;
     const Team* team = settings_.FindTeam(spec.team);
     if (team == nullptr) continue;
     bool within =
         team->cpus > 0 && everywhere[spec.team].cpus + spec.task_resources.cpus <= team->cpus;
-    // Whatever the order, nothing waits for ever: what has waited long without a
-    // single start comes first.
+    // Starvation protection: a job that has waited too long for its first start is served before
+    // others of its priority.
     const Micros starve = FromSeconds(settings_.operator_settings.starve_s());
     const bool aged =
         run.done + run.placed == 0 && starve > 0 && WallNow(now) - job->ready_at > starve;
-    // Where more important work leaves no room at all, one task of it starts in its place.
+    // One task of an aged array starts even if work of higher priority takes all capacity.
     Priority rank = spec.priority;
     if (aged && spec.kind == JobKind::kArray && spec.priority < kAgedRank) {
       rank = kAgedRank;
@@ -102,8 +102,7 @@
   return waiting;
 }
 
-// The recent peak of array work fades within a minute, and to nothing: a share of it that
-// only dwindled would keep a last machine for long.
+// Updates the decaying peak of array demand. It decays linearly to zero within kPeakDecaySeconds.
 void Core::NoteArrayPeak(Micros now, Shard* shard, double array_cpus) {
   const double age = ToSeconds(now - shard->cycle.peak_at);
   double faded = shard->cycle.peak * std::max(0.0, 1.0 - age / kPeakFades);
@@ -114,8 +113,8 @@
   shard->cycle.array_peak = faded;
 }
 
-// What each team's limit leaves to its arrays in this shard, in cpus; teams without a limit
-// are left out.
+// CPUs of each team's quota share in this shard that its services leave to arrays. Teams without a
+// limit are left out.
 std::map<std::string, double> Core::TeamCapacities(int shard_id, const Plan& plan) const {
   std::map<std::string, double> capacities;
   for (const Team& team : settings_.teams) {
@@ -135,7 +134,7 @@
   return capacities;
 }
 
-// Puts off what costs most to its next aim until the rest can be in time.
+// Defers the largest jobs to their next latest start until the others can meet theirs.
 void Core::DeferLargestJobs(Micros wall, double capacity, double ahead,
                             const std::vector<PendingJob*>& jobs) {
   std::vector<OrderItem> items;
@@ -145,9 +144,9 @@
   for (size_t i = 0; i < jobs.size(); ++i) jobs[i]->tier = items[i].tier;
 }
 
-// Most urgent first, as long as all can be in time. When they cannot, what costs
-// most is put off until its next aim, so that as many as possible are (Moore and
-// Hodgson). Late ones come last, in the order of their coming.
+// Sorts by effective priority and then by latest start. Where not all jobs can be in time, the
+// largest are deferred (Moore-Hodgson), so that as many as possible are. Jobs past all their latest
+// starts come last, in the order in which they became ready.
 void Core::SortPendingJobs(Micros now, int shard_id, const Plan& plan,
                            std::vector<PendingJob>* waiting) const {
   double capacity = 0;
@@ -168,7 +167,7 @@
   std::sort(waiting->begin(), waiting->end(), before);
   const std::map<std::string, double> team_capacity = TeamCapacities(shard_id, plan);
   std::map<std::string, double> team_ahead;
-  double ahead = 0;  // cpu seconds of what comes first
+  double ahead = 0;  // CPU seconds of the jobs that are served before
   for (auto from = waiting->begin(); capacity > 0 && from != waiting->end();) {
     auto to = std::find_if(from, waiting->end(),
                            [&](const PendingJob& w) { return group(w) != group(*from); });
@@ -179,7 +178,7 @@
         by_team[w->spec->team].push_back(&*w);
         all.push_back(&*w);
       }
-      // A team at its limit has more to do than it can, however many machines are free.
+      // A team's quota may be the bottleneck even if machines are free.
       for (const auto& [team, jobs] : by_team) {
         auto limit = team_capacity.find(team);
         if (limit == team_capacity.end()) continue;
--- a/src/core/scheduler/placement.cc
+++ b/src/core/scheduler/placement.cc
@@ -94,8 +94,8 @@
                   const CandidateIndex& index) {
   const JobSpec& spec = *request.spec;
   const bool service = spec.kind == JobKind::kService;
-  // Work that saves nothing is stopped within moments: where room is scarce it may
-  // use what is kept for services, and makes way for them.
+  // Tasks without checkpoints are stopped within moments: they may borrow the headroom of services
+  // where it is scarce, and are preempted when a service needs it.
   const bool soft = request.lendable && spec.checkpoint == 0;
   const bool keeps_room =
       !service && !soft && !request.tail && spec.priority != Priority::kProduction;
@@ -116,7 +116,7 @@
           index.ZoneFree(machine.zone) - spec.task_resources.cpus < request.zone_headroom))) {
       continue;
     }
-    // Seconds until the task can run there: its image, and fetches sharing the link.
+    // Seconds until the task can run: its image fetch, shared with other fetches of the machine.
     double score = 0;
     if (!machine.Cached(spec.image)) {
       double fetch = spec.image_gb / std::max(0.01, machine.fetch_gb_per_s);
@@ -125,7 +125,7 @@
                    : fetch * (1.0 + static_cast<double>(machine.fetching.size()));
     }
     if (service) {
-      // Replicas apart, so that one machine's end takes one of them.
+      // Replicas apart, so that the loss of a machine affects few of them.
       score += 0.7 * machine.TasksOf(spec.id);
     } else if (request.tail) {
       score += machine.spot ? 4.0 : 0.0;
@@ -137,12 +137,12 @@
       auto zone = request.spread->by_zone.find(machine.zone);
       if (zone != request.spread->by_zone.end()) score += 0.2 * zone->second;
     }
-    // Pack: prefer the machine with least left over, so that others get empty.
+    // Best fit: prefer the machine with the least left over, so that others become empty.
     score += 0.5 * static_cast<double>(machine.free.cpus - spec.task_resources.cpus) /
              static_cast<double>(std::max<int64_t>(1, machine.size.cpus));
     if (best >= 0 && score >= best_score) continue;
     if (keeps_room && !machine.spot && request.image_headroom > 0) {
-      // A service starts at once only where its image is: room there is kept.
+      // Services start fast where their image is cached: keep CPUs free there.
       bool keeps =
           std::all_of(machine.service_images.begin(), machine.service_images.end(), [&](int image) {
             return index.with_image(image).free - spec.task_resources.cpus >=
--- a/src/core/scheduler/placement.h
+++ b/src/core/scheduler/placement.h
@@ -1,4 +1,4 @@
-// Which machine a task goes to. Pure: works on a snapshot of the machines.
+// Selects the machine for a task, on a snapshot of the machines.
 #ifndef TROUTLINK_CORE_SCHEDULER_PLACEMENT_H_
 #define TROUTLINK_CORE_SCHEDULER_PLACEMENT_H_
 
@@ -19,21 +19,21 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  bool usable = false;  // heard from lately, not leaving, not set aside
-  bool closed = false;  // this round cannot change it any more: the next one can
-  // Less important work stays away: room here is being made for work of this priority.
+  bool usable = false;  // heard from recently, not draining, not quarantined
+  bool closed = false;  // its chunk of the assignment table cannot change in this cycle
+  // Work of lower priority is kept off: capacity is being freed for work of this priority.
   Priority least_priority = Priority::kLow;
   std::string helps;
   Resources size;
   Resources free;
-  Resources preemptible;  // taken by work that critical work may push aside
+  Resources preemptible;  // used by tasks that production work may preempt
   double fetch_gb_per_s = 0.1;
-  // Images that it holds, by last use, and those that it is fetching.
+  // Cached images by time of last use, and images being fetched.
   const std::map<std::string, Micros>* cached = nullptr;
   std::vector<std::string> fetching;
-  // Tasks of each job that are or may be here.
+  // Number of tasks of each job that are, or may be, on the machine.
   std::vector<std::pair<std::string, int>> tasks;
-  std::vector<int> service_images;  // service images that it has, as the index numbers them
+  std::vector<int> service_images;  // cached or fetching, by CandidateIndex number
 
   bool Cached(const std::string& image) const {
     return cached != nullptr && cached->count(image) != 0;
@@ -58,21 +58,21 @@
   }
 };
 
-// Sums over the machines of a round, kept as machines change, so that a choice
-// does not add them all up again.
+// Free capacity over all candidate machines, updated as machines change, so that a choice does not
+// sum it again.
 class CandidateIndex {
  public:
   struct ImageRoom {
-    int64_t free = 0;  // cpus on usable steady machines that have the image
+    int64_t free = 0;  // CPUs on usable steady machines that have the image
     std::map<std::string, int64_t> by_zone;
   };
 
   CandidateIndex() = default;
-  // `service_images` are those of all services that run.
+  // `service_images`: the images of all running services.
   CandidateIndex(const std::set<std::string>& service_images,
                  std::vector<CandidateMachine>* machines);
 
-  // Around every change of a machine.
+  // Call Remove() before and Add() after every change of a machine.
   void Remove(const CandidateMachine& m) { Count(m, -1); }
   void Add(CandidateMachine* m) {
     Name(m);
@@ -81,8 +81,8 @@
 
   int64_t steady_free() const { return steady_free_; }
   int64_t ZoneFree(const std::string& zone) const;
-  // Free cpus on steady machines that are nobody's helpers, by zone; `except`
-  // left out.
+  // Free CPUs by zone on steady machines that are not reserved for an array's tail, without
+  // `except`.
   std::map<std::string, int64_t> RoomByZone(const CandidateMachine* except) const;
   const ImageRoom& with_image(int image) const { return image_room_[static_cast<size_t>(image)]; }
 
@@ -97,7 +97,7 @@
   std::vector<ImageRoom> image_room_;
 };
 
-// Where tasks of one job are or may be, over all machines.
+// Number of tasks of one job by zone, running or planned.
 struct JobSpread {
   std::map<std::string, int> by_zone;
 };
@@ -105,31 +105,30 @@
 struct PlacementRequest {
   const JobSpec* spec = nullptr;
   const JobSpread* spread = nullptr;
-  bool tail = false;            // prefers steady machines, may use headroom
-  int64_t steady_headroom = 0;  // cpus to leave free on steady machines
-  int64_t zone_headroom = 0;    // the same in each zone, for services that spread
-  int64_t image_headroom = 0;   // the same where each service's image is
-  // Work that saves nothing may use that room, as it is stopped within moments.
+  bool tail = false;            // prefers steady machines and may use headroom
+  int64_t steady_headroom = 0;  // CPUs to leave free on steady machines
+  int64_t zone_headroom = 0;    // the same for each zone, for services spread over zones
+  int64_t image_headroom = 0;   // the same for the machines that have a service's image
+  // Tasks without checkpoints may borrow the headroom: they are preempted within moments.
   bool lendable = true;
-  const std::string* avoid = nullptr;  // a machine to keep away from
-  bool closed_too = false;             // whether the next round could place it
+  const std::string* avoid = nullptr;  // machine to avoid
+  bool closed_too = false;             // consider machines that only a later cycle can change
 };
 
-// True when type, kind and zone of the machine are allowed for one more task,
-// given where the others are.
+// Whether machine type, spot or steady, and zone allow one more task of the job.
 bool Allowed(const JobSpec& spec, const JobSpread& spread, const CandidateMachine& m);
-// Same for type and kind only.
+// The same for the machine type and spot or steady only.
 bool TypeAllowed(const JobSpec& spec, const std::string& type, bool spot);
-// At most this many tasks of a spread job may be in one zone.
+// Most tasks that a job spread over zones may have in one zone.
 int SpreadLimit(const JobSpec& spec);
 
-// How many tasks of a job fit into this room.
+// Number of tasks of a job that fit into `room`.
 int TasksThatFit(const JobSpec& spec, const Resources& room);
 
-// Room in a zone, in thousandths of cpus, that counts as having a place there.
+// Free milli-CPUs from which a zone counts as able to take a service replica.
 inline constexpr int64_t kZoneRoom = 4000;
 
-// Index of the best machine, or -1.
+// Returns the index of the best machine, or -1 if none can take the task.
 int ChooseMachine(const PlacementRequest& request, const std::vector<CandidateMachine>& machines,
                   const CandidateIndex& index);
 
--- a/src/core/scheduler/placer.cc
+++ b/src/core/scheduler/placer.cc
@@ -1,4 +1,4 @@
-// Which waiting tasks start in a round, in which order, and where.
+// Places the pending tasks of a scheduling cycle on machines.
 #include <algorithm>
 #include <memory>
 
@@ -11,17 +11,17 @@
 namespace {
 constexpr Micros kWholeJobDelay = 500 * kMillisecond;
 constexpr size_t kOtherConditions = 10;
-constexpr Micros kArrayPreemptionDelay = 2 * kSecond;  // before an array stops other work
-constexpr Micros kGuaranteePreemptionDelay =
-    300 * kMillisecond;                     // the same within its team's guarantee
-constexpr int kMaxPreemptions = 32;         // jobs that others make way for in one round
-constexpr int64_t kLendBelowMultiple = 10;  // steady cpus for each that is kept free
+// Minimum wait of an array before it preempts other work, and the same within its team's guarantee.
+constexpr Micros kArrayPreemptionDelay = 2 * kSecond;
+constexpr Micros kGuaranteePreemptionDelay = 300 * kMillisecond;
+constexpr int kMaxPreemptions = 32;         // jobs for which one cycle preempts others
+constexpr int64_t kLendBelowMultiple = 10;  // of the headroom, in steady CPUs
 constexpr Micros kReservedQuotaDelay = 20 * kSecond;
-constexpr int kMovesOfService = 2;  // between shards, before it starts in parts
+constexpr int kMovesOfService = 2;  // between shards, before the service may start partially
 constexpr size_t kMachinesPerReservation = 20;
 }  // namespace
 
-// How much room services keep, and whether work that stops at once may use it.
+// Computes the headroom for services, and whether tasks without checkpoints may borrow it.
 Core::Headroom Core::HeadroomOf(int shard_id, const Plan& plan) const {
   Headroom headroom;
   headroom.steady = plan.headroom;
@@ -29,8 +29,8 @@
     headroom.zone =
         headroom.steady / static_cast<int64_t>(std::max<size_t>(1, settings_.zones.size()));
   }
-  // Stopping lent work takes its time, some of which a service start does not
-  // have: where the room that is kept is small beside all there is, it stays free.
+  // Preempting a borrower delays the start of a service: if the headroom is small compared with the
+  // steady capacity, it is not lent.
   int64_t steady = 0, largest = 0;
   for (const CandidateMachine& machine : plan.machines) {
     if (machine.usable && !machine.spot) steady += machine.size.cpus;
@@ -41,7 +41,7 @@
     if (job == nullptr || job->record.spec.kind != JobKind::kService) continue;
     largest = std::max(largest, job->record.spec.tasks * job->record.spec.task_resources.cpus);
   }
-  // With room to spare, half of the largest service finds its image at once.
+  // Keep CPUs for half of the largest service where its image is cached.
   if (headroom.steady > 0) {
     headroom.image = static_cast<int64_t>(1000 * settings_.operator_settings.image_headroom_cpus());
   }
@@ -51,11 +51,12 @@
   return headroom;
 }
 
-// Conditions of a transaction are limited: the leadership, the chunks of this shard and of
-// one other, and some jobs that are done or move take theirs.
+// The number of jobs in one commit is bounded by the conditions of a transaction, some of which are
+// taken by the leadership records, the chunks of this shard and of another one, and jobs that end
+// or move.
 size_t Core::MaxJobsPerCycle(int shard_id) const {
   const auto conditions = static_cast<size_t>(cluster_version_.limits().conditions());
-  // A table is one condition, and each of the few chunks that change.
+  // One condition for a table, and one for each changed chunk.
   if (cluster_version_.all_current())
     return conditions > kOtherConditions ? conditions - kOtherConditions : 1;
   size_t others = 0;
@@ -68,7 +69,7 @@
   return conditions > taken ? conditions - taken : 1;
 }
 
-// Arrays leave a little of the team's limit to its own services.
+// Quota of a team that arrays leave free for its services.
 QuotaShare Core::QuotaReservedForServices(const JobSpec& spec, const Team& team) const {
   QuotaShare kept;
   if (spec.priority == Priority::kProduction || !jobs_.HadService(spec.team)) return kept;
@@ -78,7 +79,7 @@
   return kept;
 }
 
-// Places the waiting tasks of one round, job by job, in the plan of the round.
+// Places the pending tasks of one scheduling cycle, job by job, in its plan.
 class Core::Placer {
  public:
   Placer(Core* core, Micros now, int shard_id, Plan* plan)
@@ -94,13 +95,13 @@
         lowest_priority_(core->LowestPlacedPriority(shard_id)) {}
 
   void Place(const PendingJob& waiting);
-  // Whether the round has decided as much as it may.
+  // Whether the cycle has reached its limits of starts or jobs.
   bool Full() const { return BatchFull() || plan_.jobs.size() >= max_jobs_; }
   bool BatchFull() const { return started_ >= batch_; }
   uint32_t batch() const { return batch_; }
 
  private:
-  // The job that is being placed.
+  // The job being placed.
   struct Job {
     Job(const PendingJob& job, const Team& its_team)
         : waiting(job), spec(*job.spec), team(its_team) {}
@@ -108,17 +109,17 @@
     const PendingJob& waiting;
     const JobSpec& spec;
     const Team& team;
-    QuotaShare kept;  // of the team's limit, for its services
+    QuotaShare kept;  // quota of the team that is kept for its services
     PlacementRequest request;
-    std::string shape;             // empty: its tasks are placed one by one
-    bool gang = false;             // its tasks have one attempt number
-    bool whole = false;            // all of its tasks start, or none
-    std::unique_ptr<Plan> before;  // the plan without it
-    size_t begun = 0;              // starts in the plan before its own
+    std::string shape;             // empty: no result of an equal job is reused
+    bool gang = false;             // all tasks share one attempt number
+    bool whole = false;            // all tasks start, or none
+    std::unique_ptr<Plan> before;  // to roll back to
+    size_t begun = 0;              // length of Plan::started before this job
     uint64_t gang_number = 0;
-    int left = 0;              // tasks
-    int machine = -1;          // that is being filled
-    bool asked_quota = false;  // of other shards
+    int left = 0;              // tasks still to place
+    int machine = -1;          // last chosen, -1: none
+    bool asked_quota = false;  // quota transfer from other shards was requested
     bool no_machine = false;
   };
 
@@ -126,10 +127,10 @@
   bool MustStartWhole(const PendingJob& waiting) const;
   bool MayUseReservedQuota(const PendingJob& waiting) const;
   void PlaceTasks(Job* job);
-  // Whether the team's limit allows one more task, if need be by quota of other shards.
+  // Whether the team's quota allows one more task, after a transfer from other shards if needed.
   bool WithinQuota(Job* job);
   bool FitsQuota(const Job& job);
-  // Sets the machine of the next task; -1: none now.
+  // Selects the machine for the next task; -1 if there is none.
   void FindMachine(Job* job);
   bool FitsClosedMachine(Job* job) const;
   void TransferMachine(Job* job);
@@ -143,20 +144,20 @@
   const int shard_id_;
   Plan& plan_;
   Shard& shard_;
-  const uint32_t batch_;  // batches widen with the load
+  const uint32_t batch_;  // starts per cycle, widened under load
   const size_t max_jobs_;
-  const size_t max_reserved_;  // reserved machines stand partly idle: a few at a time
+  const size_t max_reserved_;  // reserved machines are partly idle
   const Headroom headroom_;
   const std::optional<Priority> lowest_priority_;
   uint32_t started_ = 0;
   size_t reserved_ = 0;
   int preemptions_ = 0;
   int array_preemptions_ = 0;
-  std::set<std::string> no_room_;  // shapes that found no machine in this round
+  std::set<std::string> no_room_;  // placement keys of jobs that found no machine
 };
 
-// A service that spreads is not begun where it cannot be completed, as long as another shard
-// may take it: its replicas would tie it to this one.
+// A gang, and a service spread over zones that another shard may still take, starts all its tasks
+// or none: the first replica ties a service to its shard.
 bool Core::Placer::MustStartWhole(const PendingJob& waiting) const {
   const JobSpec& spec = *waiting.spec;
   if (spec.kind == JobKind::kGang) return true;
@@ -166,9 +167,8 @@
          (run.unplaced_since == 0 || now_ - run.unplaced_since < kWholeJobDelay);
 }
 
-// What a team keeps of its limit for its services may serve one task of an array that has
-// waited for long: three shards that each kept some left a task without a place for minutes,
-// while the team was under its limit and machines were free.
+// A task of an array that has waited long may use the quota that is reserved for services.
+// Otherwise the reservations of several shards can block it while its team is below the limit.
 bool Core::Placer::MayUseReservedQuota(const PendingJob& waiting) const {
   const JobExecution& run = *waiting.run;
   if (waiting.spec->kind != JobKind::kArray) return false;
@@ -196,7 +196,7 @@
   if (spec.kind == JobKind::kArray && !spec.spread && !spec.one_zone && !job.request.tail) {
     job.shape = ShapeOf(spec);
   }
-  // An array of the same shape found no machine a moment ago: nor will this one.
+  // An equal array found no machine in this cycle.
   job.no_machine = !job.shape.empty() && no_room_.count(job.shape) != 0;
   job.left = waiting.tasks;
   return job;
@@ -254,14 +254,14 @@
 }
 
 void Core::Placer::FindMachine(Job* job) {
-  // An array's tasks fill one machine after the other.
+  // Fill one machine before choosing another.
   if (job->machine >= 0 && !job->shape.empty()) {
     const CandidateMachine& last = plan_.machines[static_cast<size_t>(job->machine)];
     if (last.spot && job->spec.task_resources.Fits(last.free)) return;
   }
   job->machine = ChooseMachine(job->request, plan_.machines, plan_.index);
   if (job->machine >= 0) return;
-  // A machine of another chunk has room: no reason to take or rent one.
+  // A machine of another chunk can take it in a later cycle: no transfer or rental is needed.
   if (plan_.partial && FitsClosedMachine(job)) {
     shard_.cycle.dirty = true;
     return;
@@ -280,7 +280,7 @@
 }
 
 void Core::Placer::TransferMachine(Job* job) {
-  // An acquisition that comes to nothing is undone with the rest.
+  // Roll back the transfer too if not all tasks can start.
   if (job->whole && job->before == nullptr) job->before = std::make_unique<Plan>(plan_);
   if (core_.PlanMachineTransfer(now_, shard_id_, &plan_, job->spec)) {
     job->machine = ChooseMachine(job->request, plan_.machines, plan_.index);
@@ -297,7 +297,7 @@
   }
   plan_.Occupy(&machine, spec, 1);
   plan_.Change(machine.name);
-  // The tasks of a gang find each other by a common attempt.
+  // The tasks of a gang identify each other by a common attempt number.
   const uint64_t number = job->gang ? job->gang_number : core_.NextNumber(shard_id_, &plan_);
   const Attempt attempt{spec.id, static_cast<int>(task), number};
   plan_.assignments.machines[machine.name].attempts.push_back(attempt);
@@ -313,7 +313,7 @@
   if (!job->whole) job->waiting.run->unplaced_since = 0;
 }
 
-// Takes back what was placed of a job that starts whole or not at all.
+// Rolls back the tasks placed for an all-or-nothing job.
 void Core::Placer::Undo(Job* job) {
   if (job->before != nullptr) plan_ = std::move(*job->before);
   Withdraw(&plan_, job->spec, job->begun);
@@ -337,12 +337,12 @@
   if (spec.priority == Priority::kProduction && now_ - shard_.cycle.explained_at > kSecond) {
     shard_.cycle.explained_at = now_;
     core_.effects_.Log(LogLine::Level::kDebug,
-                       "no room for " + spec.id + " (" + std::to_string(job->left) + " left)");
+                       "no machine for " + std::to_string(job->left) + " tasks of " + spec.id);
   }
   MakeRoom(*job);
 }
 
-// Stops less important work, not for too many jobs at once.
+// Preempts work of lower priority, for a limited number of jobs per cycle.
 void Core::Placer::MakeRoom(const Job& job) {
   const JobSpec& spec = job.spec;
   if (spec.priority == Priority::kProduction) {
@@ -374,7 +374,7 @@
                          : settings_.operator_settings.batch();
 }
 
-// How many more tasks of a job its team's limit allows in this shard.
+// Number of further tasks of a job that its team's quota allows in this shard.
 int Core::TasksWithinLimit(const Plan& plan, const Team& team, int shard_id, const JobSpec& spec,
                            const QuotaShare& kept) const {
   const QuotaShare share = QuotaShareOf(plan.assignments, team, shard_id, settings_.shard_count());
@@ -390,9 +390,8 @@
   return static_cast<int>(std::max<int64_t>(0, tasks));
 }
 
-// For a job that has waited too long: its tasks need more room than what is left
-// wherever smaller ones keep filling up. The machine with most room takes nothing
-// else until one of them fits.
+// Reserves the machine with the most free CPUs for an aged job: no other task is placed there in
+// this cycle, so that smaller tasks do not keep filling the room it needs.
 void Core::Reserve(Plan* plan, const JobSpec& spec) {
   CandidateMachine* best = nullptr;
   const JobSpread& spread = plan->SpreadOf(spec);
@@ -408,7 +407,7 @@
   best->usable = false;
 }
 
-// Takes back what was placed of a job since `begun`.
+// Removes the starts of a job after the first `begun` ones from the plan.
 void Core::Withdraw(Plan* plan, const JobSpec& spec, size_t begun) {
   while (plan->started.size() > begun) {
     const auto& [name, attempt] = plan->started.back();
@@ -420,7 +419,7 @@
   }
 }
 
-// Jobs of one shape fit on the same machines.
+// Jobs with equal keys can be placed on the same machines.
 std::string Core::ShapeOf(const JobSpec& spec) {
   std::string out = std::to_string(spec.task_resources.cpus) + "/" +
                     std::to_string(spec.task_resources.gpus) + "/" +
--- a/src/core/scheduler/plan.h
+++ b/src/core/scheduler/plan.h
@@ -1,4 +1,4 @@
-// What one round decided and has not committed yet.
+// The decisions of one scheduling cycle before they are committed.
 #ifndef TROUTLINK_CORE_SCHEDULER_PLAN_H_
 #define TROUTLINK_CORE_SCHEDULER_PLAN_H_
 
@@ -12,33 +12,33 @@
 
 namespace troutlink {
 
-// The tasks of one job that wait for a start.
+// A job with tasks to start.
 struct Core::PendingJob {
   const JobSpec* spec;
   JobExecution* run;
   int tasks;
-  Priority rank;               // its place in the order; its priority, or higher once aged
-  bool within;                 // its team's guarantee
-  bool aged;                   // has waited too long without a start
-  std::vector<Micros> limits;  // latest starts, one for each aim
-  size_t tier;                 // the first of them that can be kept
-  double work;                 // cpu seconds that wait
-  Micros ready_at;             // time of day from which it could start
+  Priority rank;               // effective priority: raised if the job is aged
+  bool within;                 // within its team's guarantee
+  bool aged;                   // waited too long for its first start
+  std::vector<Micros> limits;  // one for each objective, time of day, ascending
+  size_t tier;                 // index of the first latest start that can be met
+  double work;                 // pending work in CPU seconds
+  Micros ready_at;             // time of day
   int moves;
   bool lost() const { return tier >= limits.size(); }
   Micros key() const { return lost() ? ready_at : limits[tier]; }
 };
 
-// A task that may be stopped for more important work.
+// A running task that may be preempted.
 struct Core::PreemptibleTask {
   Attempt attempt;
   AttemptState* info;
   const JobSpec* spec;
 };
 
-// What may be stopped on one machine.
+// The preemptible tasks of one machine.
 struct Core::Preemptible {
-  Resources room;  // free, or about to be, and promised to nobody in this round
+  Resources room;  // free or about to be freed, and not yet reserved in this cycle
   std::vector<PreemptibleTask> tasks;
 };
 
@@ -49,50 +49,50 @@
     bool tail = false;
   };
 
-  AssignmentTable assignments;            // the shard's own, as it is to become
-  std::map<int, AssignmentTable> others;  // those of other shards that change with it
+  AssignmentTable assignments;            // the shard's planned table
+  std::map<int, AssignmentTable> others;  // planned tables of other shards
   std::vector<CandidateMachine> machines;
-  CandidateIndex index;  // over them
-  ResourceUsage use;     // of the shard's attempts that are not gone
-  int64_t headroom = 0;  // cpus kept free for services
-  // An assignment table of more chunks than a transaction holds is changed a few chunks at a
-  // time: the first ones that a round touches, while it still sees all the others.
+  CandidateIndex index;  // over `machines`
+  ResourceUsage use;     // of the shard, without terminated attempts
+  int64_t headroom = 0;  // milli-CPUs kept free for services
+  // A table with more chunks than fit into one transaction is changed partially: the first chunks
+  // that the cycle touches may change, all others are read only.
   bool partial = false;
   size_t most_chunks = 0;
   size_t most_writes = 0;                    // of the transaction
-  std::set<std::pair<int, int>> other_keys;  // chunks of other shards, by shard and chunk
-  std::set<int> window;                      // chunks that this round changes
-  std::set<int> removals;                    // chunks whose turn it is to drop what is gone
-  // Free machines of other shards, found when first needed.
+  std::set<std::pair<int, int>> other_keys;  // chunks of other shards, as (shard, chunk)
+  std::set<int> window;                      // chunks that this cycle changes
+  std::set<int> removals;                    // chunks from which terminated attempts are removed
+  // Free machines of other shards, as (shard, machine); looked up on first use.
   bool transferable_known = false;
   std::vector<std::pair<int, std::string>> transferable;
   std::map<std::string, JobSpread> spreads;
-  std::vector<std::pair<std::string, Attempt>> started;  // by machine
-  std::set<std::string> jobs;                            // whose records must not have changed
-  std::vector<std::string> done;                         // jobs to be called done
+  std::vector<std::pair<std::string, Attempt>> started;  // as (machine, attempt)
+  std::set<std::string> jobs;     // whose records are conditions of the commit
+  std::vector<std::string> done;  // jobs whose tasks are all done
   std::vector<std::string> rentals;
-  std::set<std::string> service_images;  // of all services that run
+  std::set<std::string> service_images;  // of all running services
   std::vector<UnplacedTasks> unplaced;
-  std::map<std::string, int> limited;  // tasks that a team's limit holds back, by team
-  std::map<std::string, int> moved;    // jobs that go to another shard
+  std::map<std::string, int> limited;  // pending tasks held back by a team's limit, by team
+  std::map<std::string, int> moved;    // jobs to move, by id: the new shard
   bool preemptible_known = false;
   std::map<std::string, Preemptible> preemptible;  // by machine
-  int preempted = 0;                               // tasks that were told to make way
+  int preempted = 0;                               // tasks stopped in this cycle
   bool urgent = false;
-  bool critical = false;    // starts work of the highest priority
-  bool all_tables = false;  // conditional on every assignment table (adoption)
+  bool critical = false;    // starts production work
+  bool all_tables = false;  // conditional on every assignment table
   bool progress = false;
 
   bool MayChange(const std::string& machine) const {
     return !partial || CanChangeAnotherChunk() ||
            window.count(assignments.ChunkOfMachine(machine)) != 0;
   }
-  // Whether one more chunk may change, of this table and within the transaction.
+  // Whether one more chunk of this table may change within the limits of the transaction.
   bool CanChangeAnotherChunk() const {
     return window.size() < most_chunks && window.size() + other_keys.size() < most_writes;
   }
-  // Whether another shard's header, and a machine's chunk if one is named, may change too.
-  // `machine` comes here with it.
+  // Whether another shard's header may change too, and the chunk of `machine` unless it is empty.
+  // The machine moves to this shard.
   bool MayChangeOther(int other_id, const AssignmentTable& other, const std::string& machine) {
     if (!partial) return true;
     std::set<std::pair<int, int>> keys = other_keys;
@@ -109,19 +109,19 @@
     if (!machine.empty()) other_keys.insert({other_id, other.ChunkOfMachine(machine)});
     CloseIfFull();
   }
-  // Around every change of a machine's record.
+  // Call on every change of a machine's record.
   void Change(const std::string& machine) {
     if (!partial || !window.insert(assignments.ChunkOfMachine(machine)).second) return;
     CloseIfFull();
   }
-  // Machines of other chunks take nothing in this round once no further chunk may change.
+  // Once no further chunk may change, closes the machines of unchanged chunks for this cycle.
   void CloseIfFull() {
     if (!partial || CanChangeAnotherChunk()) return;
     for (CandidateMachine& m : machines) {
       m.closed = window.count(assignments.ChunkOfMachine(m.name)) == 0;
     }
   }
-  // Room on a machine is taken (or, with -1, given back).
+  // Takes the resources of a task on a machine (n = 1) or gives them back (n = -1).
   void Occupy(CandidateMachine* m, const JobSpec& spec, int n) {
     JobSpread& spread = SpreadOf(spec);
     index.Remove(*m);
@@ -138,7 +138,7 @@
     spread.by_zone[m->zone] += n;
   }
 
-  // Where a job's tasks are; known only of jobs whose zones depend on it.
+  // Tasks of a job by zone; counted only for jobs with zone constraints.
   JobSpread& SpreadOf(const JobSpec& spec) {
     auto [it, fresh] = spreads.try_emplace(spec.id);
     if (fresh && (spec.spread || spec.one_zone)) {
--- a/src/core/scheduler/preemption.cc
+++ b/src/core/scheduler/preemption.cc
@@ -1,4 +1,4 @@
-// Work that makes way for more important work.
+// Preemption: stops tasks to make room for work of higher priority.
 #include <algorithm>
 
 #include "core/core.h"
@@ -7,13 +7,13 @@
 namespace troutlink {
 
 namespace {
-constexpr int kMaxPreempted = 64;            // tasks that one round stops
-constexpr Micros kFetchCost = 20 * kSecond;  // of a machine without the image
-// A task that was stopped so often for other arrays is left alone, or it would never end.
+constexpr int kMaxPreempted = 64;            // tasks per cycle
+constexpr Micros kFetchCost = 20 * kSecond;  // for a machine without the image
+// Bounds the preemptions of one task by arrays, so that it makes progress.
 constexpr int kMaxPreemptionsOfTask = 2;
 constexpr Micros kNearEnd = 10 * kSecond;
 
-// What stopping a task now costs: the work that it repeats, or the time to save it.
+// Cost of stopping a task now: the work to repeat, or the time to write a checkpoint.
 Micros StoppingCost(Micros now, Micros running_at, const JobSpec& spec) {
   if (running_at == 0) return 0;
   return spec.checkpoint > 0 ? spec.save : now - running_at;
@@ -21,8 +21,7 @@
 
 }  // namespace
 
-// A critical job is held up by its own team's limit: a less important task of
-// that team makes way.
+// Preempts a task of the same team when the team's limit holds back a production job.
 void Core::PreemptTeam(Micros now, int shard_id, Plan* plan, const JobSpec& spec) {
   const Attempt* best = nullptr;
   AttemptState* best_info = nullptr;
@@ -32,7 +31,7 @@
       const JobEntry* job = jobs_.Find(a.job);
       if (at == attempts_.end() || job == nullptr || job->record.spec.team != spec.team) continue;
       if (job->record.spec.priority >= spec.priority || at->second.gone) continue;
-      if (at->second.stopping) return;  // under way
+      if (at->second.stopping) return;  // a preemption is in progress
       if (!at->second.seen) continue;
       if (best == nullptr || at->second.running_at == 0 ||
           at->second.running_at > best_info->running_at) {
@@ -49,7 +48,7 @@
   SendDirectCommands(now, shard_id, best_info->machine);
 }
 
-// What may be stopped on each machine, looked up once a round.
+// Collects the preemptible tasks of each machine, once per cycle.
 void Core::FindPreemptible(const Shard& shard, Plan* plan) {
   plan->preemptible_known = true;
   std::map<std::string, const CandidateMachine*> places;
@@ -65,7 +64,7 @@
       if (slot.info == nullptr || slot.job == nullptr || slot.info->gone) continue;
       const JobSpec& spec = slot.job->record.spec;
       if (slot.info->stopping) {
-        preemptible.room += spec.task_resources;  // about to be free
+        preemptible.room += spec.task_resources;  // about to be freed
       } else if (slot.info->seen) {
         preemptible.tasks.push_back({use.machine->attempts[i], slot.info, &spec});
       }
@@ -73,7 +72,7 @@
   }
 }
 
-// The least important array work that runs in a shard.
+// Lowest priority among the placed array jobs of a shard.
 std::optional<Priority> Core::LowestPlacedPriority(int shard_id) const {
   std::optional<Priority> lowest;
   for (const auto& [id, run] : executions_) {
@@ -85,9 +84,8 @@
   return lowest;
 }
 
-// Whether a task may make way for an array. Arrays can wait, so unlike critical work they
-// stop only other arrays' tasks that lose little, are not about to end, and were not stopped
-// too often already: those make progress in the end.
+// Whether an array may preempt the task. Unlike production work, arrays preempt only array tasks
+// that lose little work, are not about to end and were not preempted too often.
 bool Core::MayPreemptForArray(Micros now, const PreemptibleTask& task) {
   const JobSpec& spec = *task.spec;
   if (spec.kind != JobKind::kArray) return false;
@@ -102,8 +100,8 @@
   return spec.checkpoint > 0 || ran < spec.estimate / 4;
 }
 
-// The tasks to stop on one machine so that one more task of `spec` fits; empty when that
-// cannot be had.
+// Selects the tasks to stop on one machine so that one more task of `spec` fits. Empty if that is
+// impossible or not needed.
 std::vector<size_t> Core::ChooseVictims(Micros now, const JobSpec& spec,
                                         const Preemptible& preemptible) {
   const bool sparing = spec.priority < Priority::kProduction;
@@ -133,10 +131,9 @@
   return stops;
 }
 
-// Makes room for `tasks` of a job by stopping the least important work that is in its way,
-// on as many machines as it takes: after a zone was lost hundreds of replicas wait, and one
-// machine at a time took half a minute. What is being stopped already counts as room to
-// come, and is kept from work that is less important.
+// Makes room for `tasks` tasks of a job by preempting work of lower priority, on as many machines
+// as needed, cheapest first. Resources of tasks that are already stopping are reserved for the job
+// first.
 void Core::PlanPreemption(Micros now, int shard_id, Plan* plan, const JobSpec& spec, int tasks) {
   if (!plan->preemptible_known) {
     FindPreemptible(shards_[static_cast<size_t>(shard_id)], plan);
@@ -188,7 +185,7 @@
   }
 }
 
-// Stops one task whose room is wanted by more important work.
+// Stops one task.
 void Core::PreemptTask(Micros now, Plan* plan, Preemptible* preemptible, size_t index) {
   const PreemptibleTask& task = preemptible->tasks[index];
   preemptible->room += task.spec->task_resources;
--- a/src/core/scheduler/quota.h
+++ b/src/core/scheduler/quota.h
@@ -1,4 +1,4 @@
-// Teams' limits, split into shares of the shards, and their guarantees.
+// Team quotas: the limit of a team is split into one share per shard.
 #ifndef TROUTLINK_CORE_SCHEDULER_QUOTA_H_
 #define TROUTLINK_CORE_SCHEDULER_QUOTA_H_
 
@@ -10,15 +10,15 @@
 
 namespace troutlink {
 
-// A share that was never moved: the limit split evenly, the rest to shard 0.
+// The initial share: the limit split evenly, with the remainder in shard 0.
 QuotaShare EqualQuotaShare(const Team& team, int shard_id, int shard_count);
-// The share of `team` that the assignment table of that shard holds.
+// The share of `team` in the shard's assignment table.
 QuotaShare QuotaShareOf(const AssignmentTable& assignments, const Team& team, int shard_id,
                         int shard_count);
-// Whether one more task fits. A limit of 0 means none.
+// Whether one more task fits the share. A limit of 0 means no limit.
 bool FitsQuotaShare(const Team& team, const QuotaShare& share, const QuotaShare& used,
                     const Resources& task_resources);
-// How much of `want` cpus (gpus) can be moved out of a share with `used` in use.
+// The part of `want` that can move out of a share of which `used` is in use.
 QuotaShare TransferableQuota(const QuotaShare& share, const QuotaShare& used,
                              const QuotaShare& want);
 
--- a/src/core/scheduler/rental_planner.cc
+++ b/src/core/scheduler/rental_planner.cc
@@ -7,8 +7,8 @@
 namespace troutlink {
 
 namespace {
-constexpr double kSlowBoot = 1.8;  // of the usual boot time
-// Where nothing can run yet, a wait without end.
+constexpr double kSlowBoot = 1.8;  // of the machine type's boot time
+// Waiting time if no capacity is available yet.
 constexpr Micros kNoEnd = 3600 * kSecond;
 constexpr int kWavesWhenLate = 3;
 
@@ -48,7 +48,7 @@
   if (found == core_.machines_.end()) return true;
   const AgentState& info = found->second;
   if (info.first_heard != 0 || info.declared_lost || info.failed) return false;
-  // One that should have been up long ago is no room to count on.
+  // An instance that boots much longer than usual is not counted on.
   const auto slow = static_cast<Micros>(kSlowBoot * static_cast<double>(type.boot));
   return info.since == 0 || now_ - info.since <= slow;
 }
@@ -93,7 +93,7 @@
   return core_.offer_selector_.Cheapest(now_, {spec, spread, spot, in_zone_});
 }
 
-// Beyond its team's limit a job has no use for machines.
+// Machines beyond the team's limit would stay unused.
 int Core::RentalPlanner::WithinTeamLimit(const JobSpec& spec, int tasks) const {
   const Team* team = core_.settings_.FindTeam(spec.team);
   if (team == nullptr || team->cpus_max <= 0 || spec.task_resources.cpus <= 0) return tasks;
@@ -118,9 +118,9 @@
   return tasks;
 }
 
-// Only for what would be late if it waited for its turn on the machines that are there, and
-// only as many as it takes to be in time, in as many waves as there is time for. What is late
-// already waits for its turn.
+// Counts only tasks that would be late if they waited for the existing machines, and only as many
+// machines as are needed to finish in time, with several waves of tasks where time allows. Work
+// that is already late waits.
 int Core::RentalPlanner::WorthSteady(const Plan::UnplacedTasks& unplaced, const MachineType& type,
                                      int tasks) const {
   const JobSpec& spec = *unplaced.spec;
@@ -176,7 +176,7 @@
   for (const std::string& zone : zones) taken.by_zone[zone] = 1;
   const std::optional<Offer> offer = CheapestOffer(service, taken, false);
   if (!offer) return;
-  Add(*offer, 1, "a second zone");
+  Add(*offer, 1, "room in a second zone");
   extra_free_ += offer->type->size.cpus;
 }
 
@@ -200,7 +200,7 @@
   const std::optional<Offer> offer = CheapestOffer(service, JobSpread(), false);
   if (!offer) return;
   const int64_t size = offer->type->size.cpus;
-  Add(*offer, static_cast<int>((missing + size - 1) / size), "headroom");
+  Add(*offer, static_cast<int>((missing + size - 1) / size), "service headroom");
 }
 
 }  // namespace troutlink
--- a/src/core/scheduler/rental_planner.h
+++ b/src/core/scheduler/rental_planner.h
@@ -1,4 +1,4 @@
-// Which machines to rent for what found no room in a round.
+// Plans which machines to rent for the tasks that a cycle could not place.
 #ifndef TROUTLINK_CORE_SCHEDULER_RENTAL_PLANNER_H_
 #define TROUTLINK_CORE_SCHEDULER_RENTAL_PLANNER_H_
 
@@ -12,11 +12,11 @@
 
 namespace troutlink {
 
-// Adds up, over the jobs of one round, the machines that lack beside those that are up, boot
-// or are being rented. Used once by `PlanRentals`; changes neither the core nor the plan.
+// Computes, over the jobs of one cycle, the machines that are missing beyond those that are up,
+// booting or being rented. Used once by `PlanRentals`; changes neither the core nor the plan.
 class Core::RentalPlanner {
  public:
-  // Machines of one offer that are wanted, and the first reason for it, for the log.
+  // Number of machines wanted of one offer, and the first reason, for the log.
   struct Want {
     Offer offer;
     int count = 0;
@@ -25,15 +25,14 @@
 
   RentalPlanner(const Core& core, Micros now, Plan* plan);
 
-  // For the jobs that found no room, in the order of the plan.
+  // Adds machines for unplaced jobs, in the plan's order.
   void AddUnplaced();
-  // Services that spread over zones need a steady machine in two of them.
+  // Adds a steady machine if only one zone has room for services spread over zones.
   void AddSecondZone();
-  // The free room that services keep.
+  // Adds steady machines for missing service headroom.
   void AddHeadroom();
 
-  // By the text of the offer's key, in whose order they are rented: few calls, of many machines
-  // each.
+  // Keyed by the offer key's text. Each entry becomes few calls with many machines each.
   const std::map<std::string, Want>& wants() const { return wants_; }
 
  private:
@@ -48,27 +47,27 @@
   bool WillCome(const AssignedMachine& machine, const MachineType& type) const;
   void AddUnplacedJob(const Plan::UnplacedTasks& unplaced);
   std::optional<Offer> CheapestOffer(const JobSpec& spec, const JobSpread& spread, bool spot) const;
-  // How many of these tasks the team's limit allows at most.
+  // Limits the number of tasks to what the team's limit allows.
   int WithinTeamLimit(const JobSpec& spec, int tasks) const;
-  // Gives room on machines that are on their way to tasks; returns how many are left.
+  // Assigns tasks to incoming machines; returns the number left over.
   int FillComing(const JobSpec& spec, int tasks, JobSpread* spread);
-  // Steady machines cost several times as much: of the tasks of an array that may use spot
-  // machines, those for which they are worth it.
+  // Of an array's tasks that may use spot machines, the number that justifies the higher price of
+  // steady machines.
   int WorthSteady(const Plan::UnplacedTasks& unplaced, const MachineType& type, int tasks) const;
   void RentFor(const JobSpec& spec, const Offer& offer, int tasks);
   void Add(const Offer& offer, int count, const std::string& reason);
-  // Free cpus on steady machines, those to come included.
+  // Free CPUs on steady machines, including incoming ones.
   int64_t SteadyFree() const;
 
   const Core& core_;
   const Micros now_;
   Plan* const plan_;
   std::vector<Coming> coming_;
-  std::map<std::string, int> in_zone_;  // machines
+  std::map<std::string, int> in_zone_;  // machines by zone
   std::map<std::string, Want> wants_;
-  double spot_cpus_ = 0;    // of machines that arrays use
-  double cpus_ahead_ = 0;   // cpu seconds of the jobs so far
-  int64_t extra_free_ = 0;  // of the machine for a second zone
+  double spot_cpus_ = 0;    // capacity for arrays
+  double cpus_ahead_ = 0;   // CPU seconds of the jobs handled so far
+  int64_t extra_free_ = 0;  // of the machine added for a second zone
 };
 
 }  // namespace troutlink
--- a/src/core/scheduler/rentals.cc
+++ b/src/core/scheduler/rentals.cc
@@ -1,4 +1,4 @@
-// Scale out: how many instances of which offers a round decides to rent.
+// Scale out: plans the rental requests of a shard.
 #include <algorithm>
 
 #include "core/core.h"
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr int kMaxPerRental = 50;
-constexpr size_t kMaxRentals = 6;  // of a shard, unanswered
+constexpr size_t kMaxRentals = 6;  // unanswered requests per shard
 }  // namespace
 
 std::map<std::string, int> Core::InstancesByZone(const AssignmentTable& assignments) {
@@ -21,8 +21,8 @@
 void Core::AddRental(int shard_id, Plan* plan, const Offer& offer, int count,
                      const std::string& helps, const std::string& reason) {
   Rental rental;
-  // Unique for ever: the number comes from the assignment table, in whose commit it is
-  // used up before the request is sent.
+  // The id is unique: its number is taken from the assignment table and committed with it before
+  // the request is sent.
   rental.ask.request =
       "troutlink-" + std::to_string(shard_id) + "-" + std::to_string(NextNumber(shard_id, plan));
   rental.ask.type = offer.type->name;
@@ -31,15 +31,15 @@
   rental.ask.count = std::min(count, kMaxPerRental);
   rental.helps = helps;
   plan->rentals.push_back(rental.ask.request);
-  effects_.Log(LogLine::Level::kDebug, "rent " + std::to_string(rental.ask.count) + " " +
+  effects_.Log(LogLine::Level::kDebug, "renting " + std::to_string(rental.ask.count) + " " +
                                            rental.ask.type + (offer.spot ? " spot" : " steady") +
                                            " for " + reason);
   plan->assignments.rentals[rental.ask.request] = rental;
   plan->urgent = true;
 }
 
-// Just after an election the machines that are up have not reported here yet: what seems
-// to lack then is not rented before most of them did, or had the time to.
+// After an election, agents have not sent heartbeats to this node yet. Renting waits until most
+// have, or had time to.
 bool Core::HasHeardItsMachines(Micros now, int shard_id) const {
   const Shard& shard = shards_[static_cast<size_t>(shard_id)];
   if (now - shard.leadership.elected_at > 2 * settings_.heartbeat_period + 2 * kSecond) return true;
@@ -52,8 +52,7 @@
   return unknown * 10 <= up;
 }
 
-// Work that nobody waits for by a certain time: it has what is left, and is worth no machine
-// at the full price.
+// Low-priority work without a deadline or objective, for which no steady machine is rented.
 bool Core::IsBestEffort(const JobSpec& spec) const {
   if (spec.priority != Priority::kLow || spec.deadline > 0) return false;
   return std::none_of(
--- a/src/core/scheduler/returns.cc
+++ b/src/core/scheduler/returns.cc
@@ -1,4 +1,4 @@
-// Which machines go back to the cloud, and which are cleared to go back.
+// Scale in: returns idle machines and consolidates lightly used ones.
 #include <algorithm>
 #include <optional>
 
@@ -8,11 +8,11 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kUnhealthyIdle = 2 * kSecond;  // before an unhealthy machine goes back
+constexpr Micros kUnhealthyIdle = 2 * kSecond;  // idle time before an unhealthy machine is returned
 constexpr Micros kClearingPeriod = 500 * kMillisecond;
-// A replica that is stopped so soon counts as never started.
+// Minimum uptime of a replica before it is moved.
 constexpr Micros kReplicaSettled = 40 * kSecond;
-constexpr size_t kMachinesPerClearing = 20;  // steady ones, for each that is cleared at a time
+constexpr size_t kMachinesPerClearing = 20;  // steady machines per concurrent drain
 constexpr size_t kTriesPerClearing = 4;
 constexpr double kLeastPrice = 0.01;
 
@@ -22,13 +22,13 @@
 
 int64_t UsedCpus(const CandidateMachine& machine) { return machine.size.cpus - machine.free.cpus; }
 
-// Steady machines that serve any work.
+// Steady machines that are not reserved for an array's tail.
 bool OfSteadyPool(const CandidateMachine& machine) {
   return !machine.spot && machine.helps.empty();
 }
 }  // namespace
 
-// Whether services that spread would miss this machine's zone.
+// Whether services spread over zones need this machine, as too few zones have room without it.
 bool Core::IsLastInZone(const Plan& plan, const CandidateMachine& machine) const {
   if (!jobs_.spread_seen() || settings_.zones.size() < 2) return false;
   std::map<std::string, int64_t> others = plan.index.RoomByZone(&machine);
@@ -37,8 +37,7 @@
   return zones < 2 && others[machine.zone] < kZoneRoom;
 }
 
-// Whether without this machine too little room is left where some service's
-// image is.
+// Whether too few CPUs stay free on machines with some service's image without this machine.
 bool Core::IsLastWithImage(const Plan& plan, const CandidateMachine& machine) const {
   const auto keep = static_cast<int64_t>(1000 * settings_.operator_settings.image_headroom_cpus());
   const int64_t own = machine.usable ? FreeCpus(machine) : 0;
@@ -46,7 +45,7 @@
     const CandidateIndex::ImageRoom& image_room = plan.index.with_image(image);
     if (image_room.free - own < keep) return true;
     if (!jobs_.spread_seen() || settings_.zones.size() < 2) continue;
-    // Services that spread start at once only where two zones have it.
+    // Services spread over zones need the image in two zones to start fast.
     int zones = 0;
     bool here = false;
     for (const auto& [zone, cpus] : image_room.by_zone) {
@@ -80,7 +79,7 @@
   }
 }
 
-// Whether a machine goes back now. `place` is the machine in the plan, if it is there.
+// Whether to return the machine now. `place` is the machine in the plan, or null.
 bool Core::MayReturn(Micros now, const AssignedMachine& machine, CandidateMachine* place,
                      Plan* plan, FreeCapacity* room) {
   auto known = machines_.find(machine.name);
@@ -99,7 +98,7 @@
   return machine.spot ? IsSpareSpot(*type, *plan, room) : IsSpareSteady(*type, place, plan, room);
 }
 
-// A helper without a task goes back at once, as soon as none waits for it.
+// A machine rented for an array's tail is returned as soon as no task of the job waits for it.
 bool Core::TailMachineWanted(const std::string& job, const Plan& plan) const {
   auto run = executions_.find(job);
   auto help = plan.assignments.helps.find(job);
@@ -108,7 +107,7 @@
          run->second.done + run->second.placed < static_cast<int>(run->second.tasks.size());
 }
 
-// Whether arrays keep enough room without a spot machine of this type.
+// Whether arrays keep enough headroom without a spot machine of this type.
 bool Core::IsSpareSpot(const MachineType& type, const Plan& plan, FreeCapacity* room) {
   const int64_t steady = std::max<int64_t>(0, room->steady - plan.headroom);
   if (room->spot + steady - type.size.cpus < room->reserved_for_arrays) return false;
@@ -116,7 +115,7 @@
   return true;
 }
 
-// The same of a steady machine; services keep theirs too.
+// The same for a steady machine; the headroom of services is kept too.
 bool Core::IsSpareSteady(const MachineType& type, CandidateMachine* place, Plan* plan,
                          FreeCapacity* room) const {
   if (place == nullptr || IsLastInZone(*plan, *place) || IsLastWithImage(*plan, *place))
@@ -125,13 +124,13 @@
       plan->headroom + std::max<int64_t>(0, room->reserved_for_arrays - room->spot);
   if (room->steady - type.size.cpus < kept) return false;
   room->steady -= type.size.cpus;
-  // The next one is judged without it.
+  // Evaluate the next machine without this one.
   plan->index.Remove(*place);
   place->usable = false;
   return true;
 }
 
-// Where the replicas of machines that are cleared may go: usable steady machines.
+// Tracks the steady machines that can take replicas from machines being drained.
 class Core::ConsolidationTargets {
  public:
   explicit ConsolidationTargets(const Plan& plan) {
@@ -145,15 +144,15 @@
     index_ = CandidateIndex(images, &machines_);
   }
 
-  // Whether replicas may go to this machine.
+  // Sets whether replicas may move to the machine.
   void SetUsable(const std::string& name, bool usable) {
     for (CandidateMachine& machine : machines_) {
       if (machine.name == name) machine.usable = usable;
     }
   }
 
-  // Takes room for a replica that leaves its zone's machine; false: there is none that has its
-  // image.
+  // Reserves resources for a replica that leaves a machine in `zone`. Returns false if no machine
+  // with its image has room.
   bool Reserve(const JobSpec& spec, JobSpread spread, const std::string& zone) {
     --spread.by_zone[zone];
     PlacementRequest request;
@@ -169,7 +168,7 @@
     return true;
   }
 
-  // Keeps what was reserved since the last call, or gives it back.
+  // Keeps or releases the reservations made since the last call.
   void Settle(bool keep) {
     for (const Reservation& reservation : reserved_) {
       if (keep) break;
@@ -189,14 +188,13 @@
   std::vector<Reservation> reserved_;
 };
 
-// Replicas come and go, and leave machines with one or two on each. When the
-// others have room for them and still keep the headroom, the emptiest machines
-// are cleared, replica by replica, and given back. A replica only moves to a
-// machine that has its image: it is away for some ten milliseconds.
+// Drains lightly used steady machines if the others have room for their replicas and keep the
+// headroom. Replicas move one at a time, and only to machines that have the image cached, so that
+// each is down briefly.
 void Core::Consolidate(Micros now, int shard_id, Plan* plan) {
   if (!MayConsolidate(now, &ShardAt(shard_id), *plan)) return;
   ConsolidationTargets targets(*plan);
-  int64_t free = 0;  // on steady machines, once those being cleared are empty
+  int64_t free = 0;  // on steady machines, without those being drained
   size_t pool = 0, clearing = 0, tries = 0;
   for (const CandidateMachine& machine : plan->machines) {
     if (!OfSteadyPool(machine)) continue;
@@ -213,17 +211,17 @@
     if (free - machine->size.cpus < plan->headroom) continue;
     if (IsLastInZone(*plan, *machine) || IsLastWithImage(*plan, *machine)) continue;
     ++tries;
-    // One that cannot be cleared, as an image is nowhere else, once held up all others.
+    // A machine that cannot be drained does not block the others.
     if (!DrainMachine(now, shard_id, plan, *machine, &targets)) continue;
     ++clearing;
     free -= machine->size.cpus;
-    // The next one is judged without it.
+    // Evaluate the next machine without this one.
     plan->index.Remove(*machine);
     machine->usable = false;
   }
 }
 
-// Only in a calm, and not in every round. What waits may use what is being cleared.
+// Consolidates only after a time without backlog, and not in every cycle. Backlog cancels drains.
 bool Core::MayConsolidate(Micros now, Shard* shard, const Plan& plan) {
   if (!plan.unplaced.empty() || !plan.assignments.rentals.empty()) {
     shard->cycle.calm_since = now;
@@ -240,8 +238,7 @@
   return true;
 }
 
-// Steady machines that are at most half used; first those that save most for each cpu that
-// moves.
+// Steady machines that are at most half used, by used CPUs per price, ascending.
 std::vector<CandidateMachine*> Core::ConsolidationCandidates(Plan* plan) const {
   std::vector<std::pair<double, CandidateMachine*>> by_cost;
   for (CandidateMachine& machine : plan->machines) {
@@ -259,7 +256,7 @@
   return candidates;
 }
 
-// Stops one replica of the machine; false: not all of them have a place elsewhere.
+// Stops one replica of the machine. Returns false if not all replicas can move.
 bool Core::DrainMachine(Micros now, int shard_id, Plan* plan, const CandidateMachine& machine,
                         ConsolidationTargets* targets) {
   targets->SetUsable(machine.name, false);
@@ -275,7 +272,7 @@
     if (info.stopping) settled = false;
     if (info.gone || info.stopping || job->record.state != JobState::kOpen) continue;
     const JobSpec& spec = job->record.spec;
-    possible = spec.kind == JobKind::kService &&  // others will be over by themselves
+    possible = spec.kind == JobKind::kService &&  // other tasks end by themselves
                info.running_at != 0 && now - info.running_at >= kReplicaSettled &&
                targets->Reserve(spec, plan->SpreadOf(spec), machine.zone);
     if (!possible) break;
--- a/src/core/scheduler/scheduling_cycle.cc
+++ b/src/core/scheduler/scheduling_cycle.cc
@@ -1,5 +1,5 @@
-// Rounds: everything a shard decides at one moment goes into one commit; what
-// comes meanwhile is gathered by the next.
+// Scheduling cycles: each gathers the decisions of a shard into one commit; changes that arrive
+// meanwhile are handled by the next cycle.
 #include <algorithm>
 
 #include "core/core.h"
@@ -11,11 +11,11 @@
 namespace {
 constexpr Micros kIdleCycleInterval = 250 * kMillisecond;
 constexpr Micros kMinCycleInterval = 15 * kMillisecond;
-constexpr double kCostPerItem = 3;       // microseconds for a machine or an attempt
-constexpr double kCycleCpuShare = 0.25;  // of the processor that we have
-constexpr int64_t kCriticalSpeedup = 3;  // rounds of critical work come so much sooner
-constexpr size_t kMaxDone = 8;           // jobs that one round calls done
-constexpr int kWritesBesideDone = 4;     // of its transaction, for the rest
+constexpr double kCostPerItem = 3;       // per machine or attempt
+constexpr double kCycleCpuShare = 0.25;  // share of the node's CPU limit
+constexpr int64_t kCriticalSpeedup = 3;  // production work shortens the interval by this factor
+constexpr size_t kMaxDone = 8;           // jobs per cycle
+constexpr int kWritesBesideDone = 4;     // writes of the transaction left for the rest
 constexpr Micros kStateLogPeriod = 5 * kSecond;
 }  // namespace
 
@@ -49,7 +49,7 @@
   }
 }
 
-// Brings what is known of attempts, tasks and machines in line with the assignment table.
+// Reconciles attempts, tasks and machines in memory with the assignment table.
 void Core::ReconcileShard(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
   ++sync_generation_;
@@ -81,8 +81,8 @@
   run->placed = 0;
 }
 
-// A machine came to this shard after the election: by a move, which is entitled by its own
-// revision. It may have been here before, under an older one.
+// Handles a machine transferred to this shard after the election. The transfer's own revision gives
+// its fencing token, as the machine may have been here under an older one.
 void Core::MachineJoined(Micros now, const Shard& shard, const AssignedMachine& machine,
                          AgentState* info) {
   info->assigned_epoch = shard.leadership.epoch;
@@ -101,7 +101,7 @@
   if (info->addr.empty()) info->addr = machine.addr;
 }
 
-// Marks the tasks of a machine as placed, and looks up what rounds need of its attempts.
+// Marks the tasks of a machine as placed, and caches pointers to attempts and jobs for the cycles.
 void Core::ReconcileAttempts(Micros now, int shard_id, MachineUsage* use) {
   use->slots.clear();
   for (const Attempt& attempt : use->machine->attempts) {
@@ -133,7 +133,7 @@
   return !health_.Unhealthy(m.name);
 }
 
-// A machine as a place for tasks, with none on it.
+// Returns the machine as a candidate with no task on it.
 CandidateMachine Core::EmptyMachine(Micros now, const AssignedMachine& m) const {
   CandidateMachine out;
   out.name = m.name;
@@ -153,9 +153,8 @@
   return out;
 }
 
-// The plan of a round starts as the assignment table without what is proven gone. One
-// pass over the attempts, through pointers that were looked up when the assignment table
-// last changed: this is what a round costs most.
+// Initialises the plan from the assignment table without terminated attempts. This pass over all
+// attempts dominates the cost of a cycle and therefore uses cached pointers.
 void Core::BeginPlan(Micros now, int shard_id, Plan* plan) const {
   const Shard& shard = shards_[static_cast<size_t>(shard_id)];
   AssignmentTable& assignments = plan->assignments;
@@ -236,7 +235,7 @@
     }
   }
   if (services == 0) return 0;
-  // The longer a machine takes to come, the more may be asked for meanwhile.
+  // Longer boot times need more headroom.
   Micros boot = 3600 * kSecond;
   for (const MachineType& t : machine_types_.types()) boot = std::min(boot, t.boot);
   double scale = std::max(1.0, ToSeconds(boot) / 20.0);
@@ -257,9 +256,8 @@
   return false;
 }
 
-// A round looks at all that a shard has. It may take so much of our share of a
-// processor: the more a shard has, the further apart rounds are, and the more each
-// of them decides.
+// The cost of a cycle grows with the number of machines and attempts. The interval bounds the CPU
+// share that cycles use.
 Micros Core::CycleInterval(const Shard& shard) const {
   double items =
       static_cast<double>(shard.replica.assignments.machines.size() + shard.usage.attempts);
@@ -310,7 +308,7 @@
   PlanRentals(now, shard_id, &plan);
   PlanReturns(now, shard_id, &plan);
   Consolidate(now, shard_id, &plan);
-  // With the compact form these have commits of their own (CommitJobRecords).
+  // With the compact form, CommitJobRecords() commits these.
   if (shard.replica.assignments.form == TableForm::kOriginal) {
     FindDoneJobs(shard_id, &plan);
     plan.progress = shard.cycle.progress_dirty && now >= shard.cycle.progress_at;
@@ -335,7 +333,7 @@
   }
 }
 
-// What a shard has and lacks, for whoever reads the log.
+// Logs capacity and backlog of the shard at debug level.
 void Core::LogShardState(int shard_id, const Plan& plan) {
   int usable = 0, waiting = 0, services = 0;
   int64_t steady = 0, spot = 0, free_steady = 0, free_spot = 0, wanted = 0;
@@ -357,39 +355,38 @@
                    ", attempts " + std::to_string(shard.usage.attempts) + ", cpus steady " +
                    std::to_string(free_steady / 1000) + "/" + std::to_string(steady / 1000) +
                    " spot " + std::to_string(free_spot / 1000) + "/" + std::to_string(spot / 1000) +
-                   " free, no room for " + std::to_string(waiting) + " array and " +
+                   " free, unplaced " + std::to_string(waiting) + " array and " +
                    std::to_string(services) + " service tasks of " + std::to_string(wanted / 1000) +
-                   " cpus, " + std::to_string(plan.assignments.rentals.size()) + " rentals, " +
-                   std::to_string(write_budget_.have()) + " writes, " +
-                   std::to_string(cloud_budget_.have()) + " calls left");
+                   " cpus, " + std::to_string(plan.assignments.rentals.size()) + " open rental requests, " +
+                   std::to_string(write_budget_.have()) + " write tokens, " +
+                   std::to_string(cloud_budget_.have()) + " cloud call tokens");
   for (const auto& [team_name, tasks] : plan.limited) {
     const Team* team = settings_.FindTeam(team_name);
     auto used = plan.use.teams.find(team_name);
     if (team == nullptr || used == plan.use.teams.end()) continue;
     const QuotaShare share =
         QuotaShareOf(plan.assignments, *team, shard_id, settings_.shard_count());
-    effects_.Log(LogLine::Level::kDebug, "limit of " + team_name + " holds back " +
+    effects_.Log(LogLine::Level::kDebug, "quota of team " + team_name + " holds back " +
                                              std::to_string(tasks) + " tasks in shard " +
                                              std::to_string(shard_id) + ": " +
                                              std::to_string(used->second.cpus / 1000) + " of " +
-                                             std::to_string(share.cpus / 1000) + " cpus here, " +
-                                             std::to_string(team->cpus_max / 1000) + " in all");
+                                             std::to_string(share.cpus / 1000) + " cpus used in this shard, " +
+                                             std::to_string(team->cpus_max / 1000) + " in all shards");
   }
-  // Of this process, since its start: what is added up over a day comes from the log, as
-  // counters end with their process.
+  // Counters of this process since its start; the log keeps them after it ends.
   const Counters& c = counters_;
   const ApiCounters& api = user_api_.counters();
   effects_.Log(LogLine::Level::kDebug,
-               "counted: starts " + std::to_string(c.starts) + ", tails " +
-                   std::to_string(c.tails) + ", helpers " + std::to_string(c.helpers) +
-                   ", overdue " + std::to_string(c.overdue) + ", preempted " +
-                   std::to_string(c.preempted) + ", cleared " + std::to_string(c.consolidated) +
+               "totals: starts " + std::to_string(c.starts) + ", tails " +
+                   std::to_string(c.tails) + ", tail machines " + std::to_string(c.helpers) +
+                   ", overdue tasks moved " + std::to_string(c.overdue) + ", preempted " +
+                   std::to_string(c.preempted) + ", consolidated " + std::to_string(c.consolidated) +
                    ", accepted " + std::to_string(api.accepted) + ", puts " +
                    std::to_string(c.puts + api.record_writes) + ", commits " +
                    std::to_string(c.commits) + ", conflicts " + std::to_string(c.commit_conflicts));
 }
 
-// Attempt numbers differ between shards, so that a job may change its shard.
+// Attempt numbers are unique over all shards, so that a job can move between them.
 uint64_t Core::NextNumber(int shard_id, Plan* plan) const {
   return plan->assignments.next_number++ * shards_.size() + static_cast<uint64_t>(shard_id);
 }
--- a/src/core/scheduler/table_form.cc
+++ b/src/core/scheduler/table_form.cc
@@ -1,15 +1,14 @@
-// The form in which an assignment table is stored: its change from the original to the compact
-// form, and the growth of the latter.
+// Storage form of an assignment table: migration from the original to the compact form, and growth
+// of the compact form.
 //
-// A state service that holds small values only takes neither a chunk of the original form nor a
-// transaction that divides one. A table changes its form in steps:
-//   1. Its leader is elected anew, in a transaction that also writes the header of the compact
-//      form. Every commit to a table is conditional on its leadership record, so none that was
-//      decided before is carried out after that, and the original form is final.
-//   2. Each further commit writes some chunks of the compact form with the machines that belong
-//      there, and in the header the number of the next chunk. Until then readers take a
-//      machine from the original form.
-//   3. The original form is erased.
+// If the store accepts only small values, it takes neither a chunk of the original form nor a
+// transaction that splits one. A table is migrated in steps:
+// 1. Its leader is re-elected in a transaction that also writes the header of the compact form.
+// Every commit to a table is conditional on its leadership record, so older commits fail and the
+// original form no longer changes.
+// 2. Each further commit writes some chunks of the compact form, and in the header the first chunk
+// that is still to migrate. Readers take unmigrated machines from the original form.
+// 3. The original form is erased.
 #include <algorithm>
 #include <memory>
 #include <utility>
@@ -20,11 +19,12 @@
 namespace troutlink {
 
 namespace {
-// With smaller values, or fewer changes in a transaction, a table is stored in the compact form:
-// commits of the original one need room for chunks, done jobs and progress together.
+// Below either limit, tables are stored in the compact form. Commits of the original form need room
+// for chunks, finished jobs and progress together.
 constexpr int64_t kCompactBelowBytes = int64_t{8} * 1024;
 constexpr int kCompactBelowOps = 12;
-// Of a value's limit: so full may the largest chunk be at first, and before there is one more.
+// Fill level of the largest chunk after migration, and the one above which a chunk is split, in
+// percent of the size limit of a value.
 constexpr int64_t kFirstFillPercent = 60;
 constexpr int64_t kGrowPercent = 75;
 constexpr int kFirstChunks = 1 + 4;
@@ -35,18 +35,18 @@
   if (!cluster_version_.all_current() || shard.replica.assignments.form == TableForm::kCompact)
     return false;
   const StateLimits& limits = cluster_version_.limits();
-  // Values that shrink may leave chunks that can be divided in no transaction.
+  // With smaller values, existing chunks might not be splittable in one transaction.
   return limits.value_bytes < kCompactBelowBytes || limits.txn_ops < kCompactBelowOps ||
          limits.value_bytes < settings_.state_limits.value_bytes;
 }
 
-// Whether another shard may change this one's table: not while it changes its form.
+// Whether another shard may change this shard's table; not during its migration.
 bool Core::MayChangeTable(const Shard& shard) const {
   return shard.replica.chunks.count(0) != 0 && !shard.replica.assignments.Migrating() &&
          !NeedsCompactForm(shard);
 }
 
-// The table as its compact form begins, with all machines still in the original form.
+// The table at the start of the migration: all machines are still in the original form.
 AssignmentTable Core::FirstCompactTable(const Shard& shard) const {
   AssignmentTable table = shard.replica.assignments;
   table.form = TableForm::kCompact;
@@ -57,18 +57,19 @@
   const int64_t most = cluster_version_.limits().value_bytes * kFirstFillPercent / 100;
   table.chunks = ChunksForCompactForm(shard.replica.assignments, most);
   table.unmigrated_from = 1;
-  // A header that is too large loses the credits of tails, which are then granted anew.
+  // Tail credits are dropped if the header is too large; they are granted again.
   if (StoredSize(EncodeChunk(table, 0)) > cluster_version_.limits().value_bytes)
     table.helps.clear();
   return table;
 }
 
-// One commit for the form of the table, if there is something to do. True: no round now.
+// Sends one maintenance commit if needed. Returns true if no scheduling cycle may run now.
 bool Core::MaintainTable(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
   if (shard.replica.assignments.form != TableForm::kCompact) return false;
   if (shard.replica.assignments.Migrating()) return MigrateTable(now, shard_id);
-  if (std::exchange(shard.cycle.maintained, false)) return false;  // a round has its turn
+  if (std::exchange(shard.cycle.maintained, false))
+    return false;  // alternate with scheduling cycles
   shard.cycle.maintained = GrowTable(now, shard_id) || EraseOriginalForm(now, shard_id);
   return shard.cycle.maintained;
 }
@@ -104,7 +105,7 @@
   return CommitWithoutPlan(now, shard_id, shard.replica.assignments, std::move(txn));
 }
 
-// One more chunk, before the fullest one is too full to be divided in one transaction.
+// Adds a chunk before the largest one is too full to be split in one transaction.
 bool Core::GrowTable(Micros now, int shard_id) {
   const Shard& shard = ShardAt(shard_id);
   size_t largest = 0;
@@ -126,8 +127,9 @@
   return CommitWithoutPlan(now, shard_id, std::move(next), std::move(txn));
 }
 
-// Commits writes that no round decided; `assignments` is the table with them. True also if there
-// is no budget for them now: they come first. `progress`: pages of progress are among them.
+// Commits writes apart from a scheduling cycle. `assignments` is the table after them; `progress`
+// tells whether they include progress pages. Returns true even if the write budget is used up: the
+// writes then go before the next cycle.
 bool Core::CommitWithoutPlan(Micros now, int shard_id, AssignmentTable assignments, StateTxn txn,
                              bool progress) {
   Plan plan;
--- a/src/core/scheduler/tail_help.cc
+++ b/src/core/scheduler/tail_help.cc
@@ -1,4 +1,4 @@
-// Help for the tail of array jobs: SpeQuloS' trigger, sizing and order.
+// Tail acceleration for array jobs (SpeQuloS): trigger, sizing and order.
 #include <algorithm>
 
 #include "core/core.h"
@@ -7,7 +7,7 @@
 
 namespace troutlink {
 
-// The tail of array jobs: SpeQuloS' trigger, sizing and order (docs/design.md).
+// Rents steady machines for arrays in their tail, and moves overdue tasks there.
 void Core::PlanTailHelp(Micros now, int shard_id, Plan* plan) {
   for (auto& [id, run] : executions_) {
     if (run.shard_id != shard_id) continue;
@@ -21,7 +21,7 @@
     if (tail.candidates() == 0) continue;
     tail.room = SteadyRoom(tail, plan);
     if (plan->assignments.helps.count(id) == 0) BeginHelp(now, shard_id, job->record, tail, plan);
-    if (plan->assignments.helps[id].credit <= 0) continue;  // help ends with the credit
+    if (plan->assignments.helps[id].credit <= 0) continue;  // the credit is used up
     MoveOverdueTasks(now, shard_id, tail, plan);
   }
 }
@@ -33,7 +33,8 @@
   return *middle;
 }
 
-// Running tasks that have run well past the job's median and were not moved before.
+// Running tasks that exceed the job's median run time by the overdue margin and were not moved
+// before.
 std::vector<Core::OverdueTask> Core::OverdueTasks(Micros now, const Tail& tail) {
   std::vector<OverdueTask> overdue;
   const std::string& id = tail.spec.id;
@@ -50,7 +51,7 @@
   return overdue;
 }
 
-// Steady room that the shard has already serves as a helper at no new cost.
+// Number of the job's tasks that fit on the shard's existing steady machines.
 int Core::SteadyRoom(const Tail& tail, Plan* plan) {
   const JobSpec& spec = tail.spec;
   const JobSpread& spread = plan->SpreadOf(spec);
@@ -68,7 +69,7 @@
   return room;
 }
 
-// The trigger: the job gets its credit, and steady machines for what has no room.
+// Grants the job its credit and rents steady machines for the tasks without room.
 void Core::BeginHelp(Micros now, int shard_id, const JobRecord& record, const Tail& tail,
                      Plan* plan) {
   const JobSpec& spec = tail.spec;
@@ -90,8 +91,8 @@
   counters_.helpers += static_cast<uint64_t>(helpers);
 }
 
-// Pending tasks come first; what room is left is for overdue ones. Their originals are stopped
-// first, and start anew once that is confirmed.
+// Moves overdue tasks to the steady capacity left after the pending tasks. The original attempt is
+// stopped first, and the task starts again once that is confirmed.
 void Core::MoveOverdueTasks(Micros now, int shard_id, const Tail& tail, Plan* plan) {
   const JobSpec& spec = tail.spec;
   int room = tail.room - tail.pending;
@@ -100,7 +101,7 @@
     auto on = std::find_if(
         plan->machines.begin(), plan->machines.end(),
         [&task](const CandidateMachine& machine) { return machine.name == task.info->machine; });
-    // A steady machine that is well gives it no better place to go.
+    // The task is already on a healthy machine of this job's tail.
     if (on != plan->machines.end() && !on->spot && on->usable && on->helps == spec.id) continue;
     --room;
     tail.run->moved.insert(task.attempt.task);
--- a/src/core/scheduler/transfer.cc
+++ b/src/core/scheduler/transfer.cc
@@ -1,4 +1,4 @@
-// What passes between shards: jobs that move, free machines, shares of limits.
+// Transfers between shards: jobs, free machines and quota.
 #include <algorithm>
 
 #include "core/core.h"
@@ -14,8 +14,8 @@
 constexpr Micros kJobTransferDelay = 500 * kMillisecond;
 }  // namespace
 
-// A job of which nothing has started and that finds no room here goes to a shard
-// that has it.
+// Moves jobs of which nothing has started, and which find no machine here, to a shard that has
+// room.
 void Core::PlanJobMoves(Micros now, int shard_id, Plan* plan) {
   int asked = 0;
   for (const Plan::UnplacedTasks& u : plan->unplaced) {
@@ -30,7 +30,7 @@
     Micros patience =
         spec.priority == Priority::kProduction ? 60 * kMillisecond : 1500 * kMillisecond;
     if (run->unplaced_since == 0 || now - run->unplaced_since < patience) continue;
-    // Looking at all shards costs: each job asks now and then, a few in a round.
+    // Evaluating all shards is expensive: bounded per job and per cycle.
     if (now < run->move_at || ++asked > 4) continue;
     run->move_at =
         now + (spec.priority == Priority::kProduction ? kJobTransferDelay / 5 : kJobTransferDelay);
@@ -38,7 +38,7 @@
     int best = -1;
     if (capacities[static_cast<size_t>(shard_id)].suitable_machines == 0 &&
         plan->assignments.rentals.empty() && now - run->unplaced_since > kNoMachineDelay) {
-      // No machine here could ever take it: to a shard that can wait for one.
+      // No machine of this shard is suitable: move the job to a shard that has suitable ones.
       for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
         const ShardCapacity& capacity = capacities[static_cast<size_t>(other_id)];
         if (!capacity.has_live_leader || capacity.suitable_machines == 0) continue;
@@ -63,28 +63,27 @@
     plan->moved[spec.id] = best;
     plan->urgent = true;
     plan->critical = plan->critical || spec.priority == Priority::kProduction;
-    effects_.Log(LogLine::Level::kDebug, "move " + spec.id + " from shard " +
+    effects_.Log(LogLine::Level::kDebug, "moving job " + spec.id + " from shard " +
                                              std::to_string(shard_id) + " to " +
                                              std::to_string(best));
   }
 }
 
-// Free machines of other shards that may be taken now.
+// Collects free machines of other shards that may be transferred now.
 void Core::FindTransferableMachines(Micros now, int shard_id, Plan* plan) {
   plan->transferable_known = true;
   const std::vector<ShardBacklog::CpusByPriority>& backlog = user_api_.shard_backlog().Cpus();
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     const Shard& other = shards_[static_cast<size_t>(other_id)];
     if (other_id == shard_id || !MayChangeTable(other) || other.cycle.committing) continue;
-    // What waits there is about to use them: a first wave of jobs once took a
-    // shard's machines away before it could decide, and left it with its services.
+    // A shard with backlog is about to use its free machines: wait longer before taking them.
     const Micros after =
         backlog[static_cast<size_t>(other_id)][0] > 0 ? kLateTransferDelay : kTransferDelay;
     for (const auto& [name, m] : other.replica.assignments.machines) {
       if (!m.attempts.empty() || m.draining || !m.helps.empty()) continue;
-      if (m.addr.empty() || !plan->MayChange(name)) continue;  // still booting
-      // One that its leader misses is no room: dead machines went from shard to shard, and
-      // each began to wait for them anew.
+      if (m.addr.empty() || !plan->MayChange(name)) continue;  // addr.empty(): still booting
+      // Skip machines that their leader reports as silent: each transfer would restart the failure
+      // detection of a dead machine.
       auto known = machines_.find(name);
       if (!other.leadership.is_leader && known != machines_.end() &&
           (known->second.reported_silent_since != 0 || known->second.failed)) {
@@ -103,18 +102,18 @@
   }
 }
 
-// Takes one free machine of another shard for a task that has no room here.
+// Transfers one free machine of another shard for a task without room here.
 bool Core::PlanMachineTransfer(Micros now, int shard_id, Plan* plan, const JobSpec& spec) {
   if (now < shards_[static_cast<size_t>(shard_id)].cycle.transfers_after) return false;
   if (!plan->transferable_known) FindTransferableMachines(now, shard_id, plan);
   for (auto it = plan->transferable.begin(); it != plan->transferable.end(); ++it) {
     const auto& [other_id, name] = *it;
     const Shard& other = shards_[static_cast<size_t>(other_id)];
-    // A shard that is busy committing would only make this commit fail.
+    // The commit would probably conflict with one of the other shard.
     if (now - other.replica.changed_at < 60 * kMillisecond &&
         spec.priority != Priority::kProduction)
       continue;
-    // One other shard in a commit, or it outgrows the transaction.
+    // Tables of at most one other shard fit into a transaction.
     if (!plan->others.empty() && plan->others.count(other_id) == 0) continue;
     const AssignedMachine& m = other.replica.assignments.machines.at(name);
     const MachineType* type = machine_types_.Find(m.type);
@@ -124,7 +123,7 @@
     CandidateMachine machine = EmptyMachine(now, m);
     machine.usable = true;
     if (!Allowed(spec, plan->SpreadOf(spec), machine)) continue;
-    // Leave the other shard something for its own critical starts.
+    // Leave the other shard headroom for its services.
     if (!m.spot && spec.priority != Priority::kProduction) {
       int64_t steady_free = 0;
       for (const auto& [from, n] : plan->transferable) {
@@ -153,7 +152,7 @@
   return false;
 }
 
-// Moves unused shares of a team's limit here.
+// Transfers unused quota of a team to this shard.
 bool Core::PlanQuotaTransfer(Micros now, int shard_id, Plan* plan, const Team& team,
                              const QuotaShare& want) {
   if (now < shards_[static_cast<size_t>(shard_id)].cycle.transfers_after) return false;
