--- a/src/core/agents/commands.cc
+++ b/src/core/agents/commands.cc
@@ -1,5 +1,4 @@
-// Commands to workers: in answers to reports and sent directly, and the fencing tokens that
-// they bear.
+// Commands to agents, in heartbeat replies and sent directly, and their fencing tokens.
 #include <algorithm>
 
 #include "core/core.h"
@@ -14,9 +13,8 @@
   return std::max(TokenForEpoch(ShardAt(shard_id).leadership.epoch), info.fencing_token);
 }
 
-// A fencing token used to be a commit's revision: in an outage there was none, the machine's lease
-// was renewed under the token of a command that was still under way, and the command was
-// carried out long after its job had been cancelled.
+// Raising the token needs no commit, so that a command without an answer can be fenced during an
+// outage of the store too. Otherwise it could run long after its job was cancelled.
 void Core::RaiseFencingToken(int shard_id, AgentState* info, uint64_t token) {
   info->required_token = std::max(info->required_token, token + 1);
   if (info->required_token <= TokenOf(shard_id, *info)) return;
@@ -45,7 +43,7 @@
     AttemptState& known = it->second;
     if (known.gone) continue;
     StopAttempt(now, it->first, &known, 0);
-    // What still waits for its image would begin before its machine reports again.
+    // A task that is still fetching its image could begin before the next heartbeat.
     if (known.state == TaskState::kFetching && known.session != 0) {
       SendDirectCommands(now, known.shard_id, known.machine);
     }
@@ -72,19 +70,19 @@
   const Attempt attempt{task.job, task.task, task.attempt};
   AttemptState* known = FindAttempt(attempt);
   if (task.state == TaskState::kExited) {
-    // After the reap a repeated start would run it once more, so it waits
-    // until no start of ours can still be under way.
+    // After the forget command a repeated start would run the task again: wait until no start can
+    // be in flight.
     if (clean && (known == nullptr || !known->direct)) {
       orders->push_back({Command::Op::kForget, task.job, task.task, task.attempt, 0});
     }
     return;
   }
   if (known == nullptr || known->gone || known->machine != machine.name) {
-    // Intended by nobody: its record was removed when it was proven gone, or the machine was taken
-    // over from a past that nobody remembers. A former leader stops it as well: under a token up
-    // to its own only its own table, or an earlier one, can have started it, and whoever leads
-    // after it shows a higher token. It renewed the lease of such a task as long as the state
-    // service was down, also when the job was cancelled.
+    // The task is in no current assignment: its record was removed when it terminated, or the
+    // machine was inherited with it. A former leader may stop it too: only its own or an earlier
+    // table can have started it under a token up to its own, and a later leader shows a higher
+    // token. Otherwise the lease of such a task, even of a cancelled job, would be renewed during
+    // an outage of the store.
     orders->push_back({Command::Op::kStop, task.job, task.task, task.attempt, 0});
     return;
   }
@@ -92,13 +90,13 @@
   if (!known->stopping) return;
   const bool saving = task.state == TaskState::kSaving;
   const bool overdue = saving && now - known->stop_at > 2 * known->grace + kGraceSlack;
-  if (saving && !overdue && known->grace != 0) return;  // it was told, and saves its state
+  if (saving && !overdue && known->grace != 0) return;  // it is writing its checkpoint
   orders->push_back(
       {Command::Op::kStop, task.job, task.task, task.attempt, overdue ? 0 : known->grace});
   known->stop_sent = true;
 }
 
-// Starts whose command got lost.
+// Repeats starts whose command was lost.
 void Core::RetryStarts(Micros now, int shard_id, const AssignedMachine& machine,
                        const AgentHeartbeat& report, const std::set<Attempt>& reported,
                        std::vector<Command>* orders) {
@@ -131,8 +129,8 @@
   }
   if (!cancellations_.MayRenewLeases(now)) return;
   DirectCommands commands = MakeDirectCommands(now, shard_id, machine->second, info);
-  // After a takeover the worker may still report to the previous leader: our
-  // token makes it look for the right one.
+  // After a failover the agent may still report to the previous leader: the higher token makes it
+  // look for the new one.
   const bool show_token = info.token_seen < commands.token;
   if (commands.orders.empty() && !show_token) return;
   info.direct_busy = true;
@@ -187,13 +185,14 @@
   std::optional<AgentHeartbeat> report;
   if (status == 200 || status == 409) report = wire::DecodeAgentHeartbeat(body);
   if (status != kNotSent && !report) {
-    // It may run at any later time with this token: nothing on the
-    // machine proves anything until the worker has seen a higher one.
+    // The command may run at any later time under this token: absences on the machine prove nothing
+    // until the agent has seen a higher one.
     ++counters_.worker_unknown;
     RaiseFencingToken(shard_id, &info, commands.token);
   }
   if (!report) {
-    // A machine that reaches no controller hears of stops in no other way.
+    // A machine that reaches no controller learns of stops only by direct commands: send them
+    // again.
     for (const Attempt& attempt : commands.stopped) {
       if (AttemptState* known = FindAttempt(attempt)) known->stop_sent = false;
     }
--- a/src/core/agents/failure_detection.cc
+++ b/src/core/agents/failure_detection.cc
@@ -1,4 +1,4 @@
-// Which machines are lost: silence, cuts, notices.
+// Failure detection: silent machines, partitions and eviction notices.
 #include <algorithm>
 
 #include "core/core.h"
@@ -7,14 +7,15 @@
 
 namespace {
 constexpr Micros kReturnTakes = kSecond;  // from the decision to the cloud's answer
-constexpr int kAllSilentCancels = 4;      // times `cancel_s`, when no machine is heard
+constexpr int kAllSilentCancels =
+    4;  // multiple of the cancellation deadline, if no machine is heard
 constexpr Micros kCancelSlack = 300 * kMillisecond;
 constexpr Micros kBootSlack = 10 * kSecond;
 constexpr Micros kFirstReportSlack = 5 * kSecond;
 }  // namespace
 
-// Zones that are cut off from us as a whole: neither the peers in them nor
-// nearly any of their machines are heard, while others are.
+// Returns zones that are partitioned from this node: no peer in them and nearly none of their
+// machines is heard, while others are.
 std::set<std::string> Core::PartitionedZones(Micros now) const {
   std::map<std::string, std::pair<int, int>> machines;  // by zone: all, silent
   std::set<std::string> out;
@@ -47,7 +48,7 @@
   return out;
 }
 
-// Finds machines that are lost, idle or about to be taken.
+// Finds machines that are lost, idle or about to be evicted.
 void Core::CheckMachines(Micros now, int shard_id) {
   const ShardSilence silence = AssessSilence(now, shard_id);
   for (const auto& [name, machine] : ShardAt(shard_id).replica.assignments.machines) {
@@ -59,7 +60,7 @@
     const bool stops_due = RetryStops(now, machine, info);
     EvacuateMachine(now, shard_id, machine, info);
     UpdateIdleTime(now, machine, &info);
-    // Whatever waits for a direct command that could not be sent before.
+    // Send what an earlier direct command could not carry.
     if (stops_due || info.probe || info.token_seen < TokenOf(shard_id, info) ||
         info.required_token > info.token_seen) {
       SendDirectCommands(now, shard_id, name);
@@ -67,7 +68,7 @@
   }
 }
 
-// What the silence of a shard's machines as a whole says.
+// Assesses the silence of all machines of a shard together.
 Core::ShardSilence Core::AssessSilence(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
   int total = 0, silent = 0;
@@ -79,14 +80,12 @@
   }
   some_silent_ = some_silent_ || silent > 0;
   shard.silence.silent = silent;
-  // When most fall silent at once, it is rather we who cannot hear, all the more when
-  // none is heard.
+  // If most machines fall silent at once, this node is probably partitioned from them.
   const bool hears_few = total >= 3 && silent * 10 > total * 6;
   if (hears_few) shard.silence.most_silent_at = now;
   ShardSilence silence;
   silence.all_silent = hears_few && silent * 20 > total * 19;
-  // When the first machines are heard again, the others are on their way: a leader that had
-  // lost all its workers for 11 s gave up those that were not among the first 40% to be back.
+  // After such a partition machines return one after the other: do not declare the later ones lost.
   silence.most_silent_lately = shard.silence.most_silent_at != 0 &&
                                now - shard.silence.most_silent_at < settings_.agent_lease;
   silence.partitioned_zones = PartitionedZones(now);
@@ -97,12 +96,10 @@
   return now - std::max(info.heard, info.since);
 }
 
-// How long a machine that was up may be silent before it is given up.
-// By the time that the cloud has it back it has ended its tasks itself.
-// In a zone that is cut off, a peer may be keeping leases alive, for as long
-// as no cancel can be overrun. When we seem to be deaf we wait as long, but not
-// for ever. Not longer either: a zone that was away for 60 s had its replicas
-// missed for a third of that time (see docs/rounds.md).
+// Time after which a silent machine is declared lost. Normally its agent has ended its tasks by
+// then, as its lease has expired. In a partitioned zone a peer may be renewing leases, at most
+// until the cancellation deadline. If this node seems to be partitioned itself, it waits as long,
+// but not indefinitely.
 Micros Core::SilenceTimeout(const AssignedMachine& machine, const ShardSilence& silence) const {
   if (silence.all_silent) return kAllSilentCancels * settings_.cancellation_deadline;
   if (silence.most_silent_lately || silence.partitioned_zones.count(machine.zone) != 0) {
@@ -113,7 +110,7 @@
 
 bool Core::IsLost(Micros now, const AssignedMachine& machine, const AgentState& info,
                   const ShardSilence& silence) const {
-  // Without the state service no machine is given up: it may be we who are cut off.
+  // Without the store this node may be the one that is partitioned.
   if (!node_health_.StateFresh(now)) return false;
   const Micros silent = SilentFor(now, info);
   if (info.failed) return true;
@@ -133,15 +130,15 @@
   if (info->first_heard == 0) {
     offer_health_.NeverCameUp(now, {machine.type, machine.zone, machine.spot});
   }
-  const char* reason = info->failed    ? ": failed"
-                       : info->missing ? ": no longer listed"
-                                       : ": silent";
-  effects_.Log(LogLine::Level::kInfo, "giving up " + machine.name + reason);
+  const char* reason = info->failed    ? "the cloud reports it as failed"
+                       : info->missing ? "the cloud no longer lists it"
+                                       : "no heartbeats";
+  effects_.Log(LogLine::Level::kInfo, "declaring machine " + machine.name + " lost: " + reason);
   MarkDirty(shard_id);
 }
 
-// A machine that is about to be taken: what can be saved is saved and goes on elsewhere; what
-// would not finish in time starts elsewhere at once.
+// Handles an eviction notice: tasks with checkpoints save and restart elsewhere; others that cannot
+// finish in time restart elsewhere at once.
 void Core::EvacuateMachine(Micros now, int shard_id, const AssignedMachine& machine,
                            const AgentState& info) {
   if (info.notice_end == 0) return;
@@ -162,7 +159,7 @@
   }
 }
 
-// Since when a machine has had no task.
+// Updates the time since which the machine has had no task.
 void Core::UpdateIdleTime(Micros now, const AssignedMachine& machine, AgentState* info) const {
   const bool busy =
       std::any_of(machine.attempts.begin(), machine.attempts.end(), [this](const Attempt& attempt) {
@@ -176,7 +173,8 @@
   }
 }
 
-// Whether there are stops that a machine's reports do not come to ask for; they are sent again.
+// Marks stops for repetition if the machine sends no heartbeats that would request them. Returns
+// whether there are any.
 bool Core::RetryStops(Micros now, const AssignedMachine& machine, const AgentState& info) {
   if (SilentFor(now, info) <= 3 * settings_.heartbeat_period / 2) return false;
   bool due = false;
--- a/src/core/agents/failure_tracker.h
+++ b/src/core/agents/failure_tracker.h
@@ -1,4 +1,4 @@
-// Tells machines that fail what they start from jobs that fail everywhere.
+// Distinguishes machines on which tasks fail from jobs that fail on any machine.
 #ifndef TROUTLINK_CORE_AGENTS_FAILURE_TRACKER_H_
 #define TROUTLINK_CORE_AGENTS_FAILURE_TRACKER_H_
 
@@ -27,46 +27,44 @@
     Tried(machine, job);
     j.last = now;
   }
-  // A task of the job was started there.
+  // Records that a task of the job was started on the machine.
   void Tried(const std::string& machine, const std::string& job) {
     std::set<std::string>& tried = jobs_[job].tried;
     if (tried.size() < 2) tried.insert(machine);
   }
-  // A task ran well: the machine works, and so does the job.
+  // Records a successful task, which clears the machine and the job.
   void Succeeded(const std::string& machine, const std::string& job) {
     machines_.erase(machine);
     auto it = jobs_.find(job);
     if (it != jobs_.end()) it->second = Job{0, {}, std::move(it->second.tried), 0};
   }
-  // Several failures, with nothing that ran well between them: of different
-  // jobs, or of one job that fails on this machine alone. A job that was tried
-  // nowhere else says nothing of the machine: the only one of a shard was once
-  // given back for a job that was submitted with a mistake.
+  // Whether the machine should be quarantined: repeated failures without a success between them, of
+  // several jobs, or of one job that fails only there. A job that was tried on a single machine is
+  // no evidence against it.
   bool Unhealthy(const std::string& machine) const {
     auto it = machines_.find(machine);
     if (it == machines_.end() || it->second.failures < machine_failures_) return false;
     for (const std::string& job : it->second.jobs) {
       auto j = jobs_.find(job);
       if (j != jobs_.end() && j->second.SaysNothing()) continue;
-      return true;  // fails here and nowhere else
+      return true;  // fails only here
     }
     return it->second.jobs.size() >= 2 && !AllJobsFailEverywhere(it->second.jobs);
   }
-  // When the job may be started again: at once at first, then spaced out.
+  // Earliest time to start the job again: exponential backoff after job_failures.
   Micros NextStart(const std::string& job) const {
     auto it = jobs_.find(job);
     if (it == jobs_.end() || it->second.failures < job_failures_) return 0;
     int over = std::min(it->second.failures - job_failures_, 5);
     return it->second.last + (kSecond << over);
   }
-  // A machine on which an attempt of this job failed is avoided by it.
+  // Whether an attempt of the job failed on the machine, which it then avoids.
   bool Avoid(const std::string& machine, const std::string& job) const {
     auto it = jobs_.find(job);
     return it != jobs_.end() && it->second.machines.count(machine) != 0;
   }
   void ForgetMachine(const std::string& machine) { machines_.erase(machine); }
-  // It is over. The machines on which a job with a mistake failed used to count as sick
-  // once it was cancelled, as nothing told any more that it had failed everywhere.
+  // Forgets a finished job, together with failures that are no evidence against its machines.
   void ForgetJob(const std::string& job) {
     auto j = jobs_.find(job);
     if (j == jobs_.end()) return;
@@ -90,9 +88,10 @@
   struct Job {
     int failures = 0;
     std::set<std::string> machines;
-    std::set<std::string> tried;  // two of those that it was started on
+    std::set<std::string> tried;  // at most two machines that it was started on
     Micros last = 0;
-    // Of the machines on which it failed: it does so everywhere, or was tried on one only.
+    // Failures of a job that fails everywhere, or was tried on one machine only, are no evidence
+    // against a machine.
     bool SaysNothing() const { return machines.size() >= 2 || tried.size() < 2; }
   };
   bool AllJobsFailEverywhere(const std::set<std::string>& jobs) const {
--- a/src/core/agents/heartbeats.cc
+++ b/src/core/agents/heartbeats.cc
@@ -1,4 +1,4 @@
-// A worker's report arrives: who answers it, and whether that may renew the worker's lease.
+// Handles agent heartbeats: which node answers, and whether the reply may renew the agent's lease.
 #include <algorithm>
 
 #include "base/ids.h"
@@ -11,7 +11,7 @@
 constexpr Micros kRelayFor = 20 * kSecond;
 constexpr Micros kRelayTimeout = 3 * kSecond;
 constexpr Micros kLapseSlack = 2 * kSecond;
-constexpr size_t kMaxUnknown = 10000;  // machines; bounded, as anyone may report
+constexpr size_t kMaxUnknown = 10000;  // machines; bounded, as any client can send heartbeats
 }  // namespace
 
 void Core::ReplyToHeartbeat(const HeartbeatSource& source, int status, std::string body) {
@@ -46,8 +46,8 @@
     ReplyAsLeader(now, source, shard_id, *report);
     return;
   }
-  // A start of the leader may be under way under the same token, sent without knowing what
-  // we learn soon after: until its leader would have given up on it and fenced it.
+  // The leader may have a start in flight under the same token, sent before this node learned of a
+  // cancellation. After kCommandTimeout the leader gives up on the command and fences the machine.
   std::optional<RenewalPermit> permit;
   if (MayRenewOnBehalf(now, shard_id, *report)) permit = JudgeRenewal(now, kCommandTimeout);
   if (permit) {
@@ -60,7 +60,7 @@
 void Core::HandleUnassignedAgent(Micros now, const HeartbeatSource& source,
                                  const AgentHeartbeat& report, const std::string& body) {
   const int shard_id = static_cast<int>(StableHash(report.machine) % shards_.size());
-  // Kept by every node: the one that rented it may learn its name any moment.
+  // Every node keeps these: the one that rented the instance may learn its name at any time.
   if (unassigned_agents_.size() < kMaxUnknown || unassigned_agents_.count(report.machine) != 0) {
     unassigned_agents_[report.machine] = report;
   }
@@ -96,14 +96,15 @@
   ReplyToHeartbeat(source, 421, wire::EncodeRedirect(leader));
 }
 
-// A worker that is back soon after a redirect cannot reach its leader; we may.
+// An agent that returns soon after a redirect cannot reach its leader: relay its heartbeats.
 bool Core::NeedsRelay(Micros now, const std::string& leader, AgentState* info) const {
   const bool came_back = info->redirected_to == leader &&
                          now - info->redirected_at < kRedirectMemory &&
                          now - info->redirected_at > kSecond;
   const Peer* peer = peers_.Find(leader);
   const bool reachable = peer != nullptr && now - peer->last_heard < 2 * kSecond;
-  // Nor does one that its leader itself misses: on its way round all nodes its lease ended.
+  // Relay at once if the leader reports the machine as silent: the lease could expire while the
+  // agent tries all nodes.
   const bool missed = info->reported_silent_since != 0;
   if ((came_back || missed) && reachable) info->relay_until = now + kRelayFor;
   return now < info->relay_until && reachable;
@@ -137,22 +138,20 @@
   if (leader.empty() || leader == settings_.label) return false;
   const Peer* peer = peers_.Find(leader);
   if (peer == nullptr) return false;
-  // A leader that lives and knows that it is one answers for itself.
+  // A live peer that considers itself the leader answers its own agents.
   const bool gone = now - peer->last_heard > 1500 * kMillisecond ||
                     peer->led_shards.count(static_cast<uint64_t>(shard_id)) == 0;
   if (!gone) return false;
-  // Nor may a peer that reaches the state service be about to take over.
+  // A peer that reaches the store may be about to take over.
   for (const auto& [label, other] : peers_.peers()) {
     if (now - other.last_heard < 1500 * kMillisecond && other.state_age < kSecond) return false;
   }
   return true;
 }
 
-// The token is the worker's own: an equal one is accepted from any node, and
-// whoever leads the shard later has a higher one. Nothing is started; what
-// was cancelled ends.
-// Tasks that the table in our replica lacks go on: the leader may have committed and started them
-// after our replica was last fed.
+// Renews under the agent's own token, which any node may use; a later leader has a higher one.
+// Nothing is started, and cancelled tasks are stopped. Tasks that this node's replica lacks
+// continue: the leader may have committed them after the last update of the replica.
 void Core::RenewOnBehalf(const RenewalPermit& permit, const HeartbeatSource& source,
                          const AgentHeartbeat& report) {
   ++counters_.renewed_on_behalf;
@@ -170,7 +169,7 @@
   AgentState& info = machines_[report.machine];
   const uint64_t token = TokenOf(shard_id, info);
   if (report.token > token) {
-    // Somebody is entitled who knows more than we do.
+    // The token is of a later leader.
     ++counters_.redirects;
     ReplyToHeartbeat(source, 421, wire::EncodeRedirect(""));
     return;
@@ -183,16 +182,16 @@
   std::vector<Command> orders;
   if (ReconcileAgent(now, shard_id, machine->second, report, false)) {
     orders = MakeCommands(now, shard_id, machine->second, report);
-    // Nothing is started before the worker saw our token; do not wait for its
-    // next report to learn that it did.
+    // Starts wait until the agent has seen this leader's token: show it now instead of waiting for
+    // the next heartbeat.
     if (report.token < info.required_token) SendDirectCommands(now, shard_id, report.machine);
   } else if (report.session != info.session) {
-    // Late, from a session that is over.
+    // A late heartbeat of an earlier incarnation.
     ReplyToHeartbeat(source, 503, wire::EncodeError("old session"));
     return;
   } else {
-    // A report that a direct answer overtook. Without its stops the answer would renew the
-    // lease of a task that is cancelled, and the machine may hang right after it.
+    // A direct answer overtook this heartbeat. The reply renews the lease and therefore must stop
+    // cancelled tasks as well.
     orders = StopsForFinishedJobs(report);
   }
   RecordReply(now, &info, orders);
@@ -220,10 +219,10 @@
   }
 }
 
-// A machine whose reports arrive while answers and commands do not reach it looks
-// alive and does nothing. It gets no more work once the orders of two answers had
-// no effect, or once its lease ended although we had just answered it. Then it is
-// asked directly: an answer clears it, and without one it goes back.
+// Detects machines whose heartbeats arrive while replies and commands do not reach them. Such a
+// machine gets no more work once the commands of two replies had no effect, or once its lease
+// expired although a reply had just renewed it. It is then probed directly: an answer clears it;
+// without one it is declared lost.
 void Core::CheckCommandsTookEffect(Micros now, int shard_id, AgentState* info,
                                    const AgentHeartbeat& report, bool new_session) {
   if (new_session) {
@@ -255,7 +254,7 @@
   info->no_direct_before = std::min(info->no_direct_before, now);
   if (info->lease_losses < 2 && info->direct_failures == 0) return;
   info->declared_lost = true;
-  effects_.Log(LogLine::Level::kInfo, "giving up " + report.machine + ": it does not hear us");
+  effects_.Log(LogLine::Level::kInfo, "declaring machine " + report.machine + " lost: replies do not reach its agent");
   MarkDirty(shard_id);
 }
 
@@ -268,7 +267,7 @@
     there = true;
     ended = task.state == TaskState::kExited;
   }
-  // A start shows by the task, a reap by its absence.
+  // A start shows as a reported task, a forget command as its absence.
   auto known = attempts_.find(attempt);
   const bool was_start = known != attempts_.end() && !known->second.gone;
   return was_start ? there : !there || !ended;
--- a/src/core/agents/reconciliation.cc
+++ b/src/core/agents/reconciliation.cc
@@ -1,4 +1,5 @@
-// What a report proves: which tasks run, have ended, or are gone.
+// Reconciles agent heartbeats with the assignment table: which tasks run, have exited or are proven
+// to have terminated.
 #include <algorithm>
 
 #include "core/core.h"
@@ -11,23 +12,22 @@
   const bool first = info.session == 0;
   if (!first && (report.session < info.session ||
                  (report.session == info.session && report.seq <= info.seq))) {
-    // Nor does it show that the machine lives: copies of reports come late.
+    // A late copy is no sign of life either.
     return false;
   }
   const bool new_session = !first && report.session > info.session;
-  // Most reports change nothing that a round would look at.
+  // Most heartbeats change nothing that matters to a scheduling cycle.
   bool changed = first || new_session || now - info.heard > 2 * settings_.heartbeat_period ||
                  info.token_seen < info.required_token;
   if (!direct) {
     CheckCommandsTookEffect(now, shard_id, &info, report, new_session);
   } else {
-    info.ignored_replies = info.lease_losses = 0;  // it answered
+    info.ignored_replies = info.lease_losses = 0;  // the agent answered
     info.ordered.clear();
   }
   RecordHeartbeat(now, shard_id, report, direct, &info);
-  // An absence is a proof only once commands of earlier leaders, and commands
-  // of ours without an answer, can no longer run: the worker saw a token above
-  // theirs.
+  // An absence proves termination only once the agent has seen a token above those of earlier
+  // leaders' commands and of commands without an answer: these can no longer run.
   const Evidence evidence{report, new_session, direct, report.token >= info.required_token};
   std::map<Attempt, const TaskStatus*> reported;
   for (const TaskStatus& task : report.tasks) reported[{task.job, task.task, task.attempt}] = &task;
@@ -55,7 +55,7 @@
   info->reported_silent_since = 0;
   if (direct || info->ignored_replies == 0) info->probe = false;
   if (info->first_heard == 0) {
-    // It has just booted: what failed before then says nothing.
+    // Failures of direct commands before the boot do not count.
     info->first_heard = now;
     info->no_direct_before = 0;
     info->direct_failures = 0;
@@ -79,7 +79,7 @@
   if (task.state == TaskState::kRunning && known->running_at == 0) {
     known->running_at = now;
     effects_.Log(LogLine::Level::kDebug,
-                 "running " + attempt.job + "/" + std::to_string(attempt.task) + " on " +
+                 "task " + attempt.job + "/" + std::to_string(attempt.task) + " is running on " +
                      machine.name + " after " +
                      std::to_string((now - known->placed_at) / kMillisecond) + " ms");
   }
@@ -95,14 +95,14 @@
 
 bool Core::ProvesAbsence(const Evidence& evidence, const Attempt& attempt,
                          const AttemptState& known) const {
-  // A new session begins without tasks.
+  // A new incarnation begins without tasks.
   const AgentHeartbeat& report = evidence.report;
   if (evidence.new_session && known.session != 0 && known.session < report.session) return true;
   if (evidence.direct || known.direct || !evidence.clean) return false;
-  // It was there, or it was inherited and never started.
+  // The task was reported before, or was inherited from an earlier leader.
   if (known.seen || !known.fresh) return true;
-  // Decided but never started, and no longer wanted. A start in a reply to
-  // an earlier report was taken or dropped before this report was made.
+  // Decided here but never reported, and no longer wanted. A start in the reply to an earlier
+  // heartbeat was applied or dropped before this one was sent.
   return (jobs_.IsOver(attempt.job) || known.stopping) &&
          (known.reply_seq == 0 || known.reply_seq < report.seq);
 }
@@ -118,9 +118,9 @@
   JobExecution& run = found->second;
   const auto task = static_cast<size_t>(attempt.task);
   if (task >= run.tasks.size() || run.tasks[task] != kPlaced) return;
-  // An assignment table that is changed a few chunks at a time may still name an attempt that
-  // is gone when the next one of its task is on record already. Whoever takes the
-  // shard over inherits both: the end of one frees the task only without the other.
+  // A table that changes a few chunks at a time may hold a terminated attempt beside the next
+  // attempt of the same task, and a new leader inherits both: the task becomes pending only when
+  // all of them have terminated.
   for (auto it = attempts_.lower_bound({attempt.job, attempt.task, 0});
        it != attempts_.end() && it->first.job == attempt.job && it->first.task == attempt.task;
        ++it) {
@@ -135,9 +135,8 @@
                           const Attempt& attempt, AttemptState* known, const TaskStatus& task) {
   RecordTaskGone(shard_id, attempt, known);
   AgentState& info = machines_[machine.name];
-  // A copy of the direct command that started it may arrive at any later time, and after
-  // the reap it would start the task once more: where that matters the worker sees a
-  // higher token first. What is done only exits as done again.
+  // A duplicate of the direct start command may arrive after the forget command and start the task
+  // again: the agent must see a higher token first. A finished task would only exit as done again.
   if (task.why != ExitReason::kDone && known->start_token != 0 &&
       info.token_seen <= known->start_token) {
     RaiseFencingToken(shard_id, &info, known->start_token);
@@ -152,7 +151,7 @@
       if (!jobs_.IsOver(attempt.job)) health_.Failed(now, machine.name, attempt.job);
       effects_.Log(
           LogLine::Level::kDebug,
-          "failed: " + attempt.job + "/" + std::to_string(attempt.task) + " on " + machine.name);
+          "task " + attempt.job + "/" + std::to_string(attempt.task) + " failed on " + machine.name);
       break;
     case ExitReason::kNoRoom: info.avoid_until = now + 3 * kSecond; break;
     case ExitReason::kPeers:
@@ -172,7 +171,7 @@
       run.tasks[task] == kDone) {
     return;
   }
-  if (run.tasks[task] == kPlaced) --run.placed;  // another attempt of it is on record
+  if (run.tasks[task] == kPlaced) --run.placed;  // another attempt is still assigned
   run.tasks[task] = kDone;
   ++run.done;
   if (running_at != 0) run.durations.push_back(now - running_at);
@@ -185,7 +184,7 @@
   info->image_gb[image] = gb;
   const MachineType* type = machine_types_.Find(type_name);
   if (type == nullptr) return;
-  // The machine keeps the most recently used ones: forget what no longer fits.
+  // The machine caches the most recently used images up to its capacity.
   while (info->images.size() > 1) {
     double sum = 0;
     for (const auto& [name, size] : info->image_gb) sum += size;
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -1,5 +1,4 @@
-// Inputs and outputs of the core: every request, answer, message of a peer and tick comes in
-// here, and what it led to goes out.
+// Entry points of the core: requests, answers to calls, peer messages and ticks.
 #include "core/core.h"
 
 #include <algorithm>
@@ -15,12 +14,13 @@
 
 namespace {
 constexpr double kShareOfLimits = 0.9;
-constexpr double kWriteBurst = 0.5;  // seconds
+// Seconds of the write rate that may be used at once.
+constexpr double kWriteBurst = 0.5;
 // Ids of forwarded requests are above all ids of requests that arrive here.
 constexpr uint64_t kForwardIds = uint64_t{1} << 62;
 
-// A late answer to the process before this one must not be taken for an
-// answer to us: numbers begin where no earlier process is likely to have been.
+// Ids differ between incarnations of the process, so that a late answer to an earlier one is not
+// taken for an answer to this one.
 uint64_t FirstMessageId(uint64_t boot) { return (boot & 0xffffffffu) << 24; }
 
 }  // namespace
@@ -95,7 +95,7 @@
 
 Core::~Core() = default;
 
-// What every input may have made possible.
+// Runs after every input, which may have enabled further steps.
 void Core::After(Micros now) {
   user_api_.CheckQueued(now);
   if (sync_.feed().synced()) RunSchedulingCycles(now);
@@ -166,8 +166,8 @@
   return effects_.TakeOutbox();
 }
 
-// The limits of the state service and the cloud are shared by shards: who works for a
-// node that is away also has its share.
+// The limits of the store and the cloud are divided between shards: a node that leads several has
+// the share of each.
 void Core::ShareLimits(Micros now) {
   const int owned = std::max(1, election_.LedShards());
   const double share = kShareOfLimits * static_cast<double>(owned) / settings_.shard_count();
@@ -179,9 +179,9 @@
 Outbox Core::Tick(Micros now, Micros wall) {
   wall_offset_ = wall - now;
   if (node_health_.ProcessPaused(now)) {
-    // That nothing was heard during the pause says nothing of the machines.
+    // Silence during the pause is no evidence about machines.
     effects_.Log(LogLine::Level::kInfo,
-                 "stood still for " +
+                 "process was paused for " +
                      std::to_string((now - node_health_.last_tick()) / kMillisecond) + " ms");
     for (auto& [name, info] : machines_) {
       if (info.since != 0) info.since = now;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,5 +1,5 @@
-// One controller as a state machine: takes inputs, returns what to send,
-// write and answer. See docs/design.md for the reasoning behind each rule.
+// Core: one controller as a state machine. It takes inputs and returns what to send, write and
+// answer. See docs/design.md for the rationale of each rule.
 #ifndef TROUTLINK_CORE_CORE_H_
 #define TROUTLINK_CORE_CORE_H_
 
@@ -56,8 +56,9 @@
 struct Counters {
   uint64_t reports = 0, redirects = 0, relays = 0, renewed_on_behalf = 0;
   uint64_t renewed = 0, renewed_as_former_leader = 0;
-  uint64_t lists = 0, watches = 0;  // of the state service, that were answered
-  uint64_t cancellations = 0, reported_cancellations = 0;  // in the replica, by peers before it
+  uint64_t lists = 0, watches = 0;  // answered by the store
+  uint64_t cancellations = 0,
+           reported_cancellations = 0;  // in the replica; by peers, before the replica
   uint64_t rounds = 0, oversized = 0;
   uint64_t commits = 0, commit_conflicts = 0, commit_unknown = 0, puts = 0;
   uint64_t worker_unknown = 0;
@@ -66,8 +67,8 @@
   uint64_t rented_machines = 0, refused_rentals = 0, returned = 0, adopted = 0;
   uint64_t elections = 0, lost_leaderships = 0, failbacks = 0;
   uint64_t unresponsive = 0;
-  uint64_t cascade_cancelled = 0;  // jobs cancelled because one that they depend on was
-  uint64_t refused_by_limits = 0;  // 400s of the state service
+  uint64_t cascade_cancelled = 0;  // cancelled because a dependency was
+  uint64_t refused_by_limits = 0;  // answers 400 of the store
   uint64_t tails = 0, helpers = 0, overdue = 0, preempted = 0, fencing_raises = 0;
 };
 
@@ -77,7 +78,7 @@
              private PeerReportListener,
              private ReplicaObserver {
  public:
-  // `boot` differs at every start of the process.
+  // `boot` identifies this incarnation of the process.
   Core(const Settings& settings, uint64_t boot, Micros now, Micros wall);
   ~Core() override;
   Core(const Core&) = delete;
@@ -86,7 +87,7 @@
   Outbox HandleRequest(Micros now, const Request& request);
   Outbox HandleAnswer(Micros now, uint64_t call, int status, const std::string& body);
   Outbox HandlePeer(Micros now, const std::string& from, const mesh::Message& message);
-  // Several times a second; `wall` is the time of day.
+  // Call several times a second. `wall` is the time of day.
   Outbox Tick(Micros now, Micros wall);
 
   const Counters& counters() const { return counters_; }
@@ -99,27 +100,27 @@
     return replica_.records(shard_id).assignments;
   }
   std::string MetricsText(Micros now) const;
-  // Actions that must never have come up for decision, and were not carried out.
+  // Actions that violated an invariant and were not carried out.
   const Tally<Violation, kViolations>& violations() const { return violations_; }
-  // Whether single permits are logged, at level debug.
+  // Enables debug log lines for single permits.
   void SetDetailedLog(bool detailed) { effects_.set_logs_debug(detailed); }
 
  private:
   struct AttemptState;
   struct AgentState;
 
-  // What a shard's attempts use, counted once for each change of its assignment table.
+  // Resources used by a shard's attempts, recomputed when its assignment table changes.
   struct ResourceUsage {
     std::map<std::string, QuotaShare> teams;
-    std::unordered_map<std::string, int> jobs;  // attempts
+    std::unordered_map<std::string, int> jobs;  // number of attempts by job
   };
-  // The same of one machine, for comparing shards.
+  // Resources used on one machine, for comparing shards.
   struct MachineUsage {
     const AssignedMachine* machine = nullptr;
     Resources all;
     std::array<Resources, kPriorities> by_priority;
     std::set<std::string> images;  // of its tasks
-    // Of the shards that are ours, in the order of the machine's attempts.
+    // Cached lookups, in the order of the machine's attempts; only for shards that this node leads.
     struct Slot {
       AttemptState* info = nullptr;
       const JobEntry* job = nullptr;
@@ -127,57 +128,57 @@
     AgentState* info = nullptr;
     std::vector<Slot> slots;
   };
-  // What the attempts of one shard use, counted anew when its assignment table changes.
+  // Usage of one shard, recomputed when its assignment table changes.
   struct ShardUsage {
     ResourceUsage total;
     std::vector<MachineUsage> machines;  // of the table, by name
     size_t attempts = 0;
     bool any_draining = false;
   };
-  // The failure detector's view of a shard's machines as a whole.
+  // The failure detector's view of all machines of a shard.
   struct MachineSilence {
-    Micros most_silent_at = 0;  // most machines were silent at once then; 0: never
-    int silent = 0;             // machines that were up and are missed
+    Micros most_silent_at = 0;  // last time that most machines were silent at once; 0: never
+    int silent = 0;             // machines that were up and are now silent
   };
-  // The scheduling cycles of one shard that this node leads.
+  // State of the scheduling cycles of a shard that this node leads.
   struct CycleState {
     bool committing = false;
-    bool dirty = false;    // something to decide
-    bool cleanup = false;  // only removals: may wait
+    bool dirty = false;    // a cycle is needed
+    bool cleanup = false;  // only removals to commit, which may wait
     Micros last_commit = 0;
     Micros committed_at = 0;
     Micros not_before = 0;
     Micros cycle_started_at = 0;
     Micros cleanup_at = 0;
     int conflicts = 0;
-    Micros transfers_after = 0;  // other shards are left alone until then
-    Micros explained_at = 0;     // last log of why something critical waits
-    Micros calm_since = 0;       // nothing has waited since
+    Micros transfers_after = 0;  // no transfers from other shards before
+    Micros explained_at = 0;     // last log line about unplaced production work
+    Micros calm_since = 0;       // start of the time without backlog
     Micros consolidate_at = 0;
     Micros progress_at = 0;
     bool progress_dirty = false;
-    bool maintained = false;         // the last turn was of the table's form
-    bool records_committed = false;  // the last turn was of job records
+    bool maintained = false;         // the last turn went to table maintenance
+    bool records_committed = false;  // the last turn went to job records
     uint32_t batch = 0;
-    Micros next_state_log = 0;  // next line in the log of what it has
-    int next_chunk = 0;         // the chunk whose turn it is
-    int partial_cycles = 0;     // rounds over a table of many chunks
-    int narrow = 0;             // rounds that decide little, after one that did not fit
-    double peak = 0;            // of the cpus that arrays wanted, and when it was
-    double array_peak = 0;      // the same, faded
+    Micros next_state_log = 0;  // time of the next log line on the shard's state
+    int next_chunk = 0;         // next chunk to clean up
+    int partial_cycles = 0;     // number of cycles over a table of many chunks
+    int narrow = 0;             // cycles left with reduced limits, after a plan that did not fit
+    double peak = 0;            // peak demand of arrays in milli-CPUs
+    double array_peak = 0;      // the same, decayed
     Micros peak_at = 0;
   };
   struct Shard {
     Shard(const ShardRecords& records, const ShardLeadership& leadership)
         : replica(records), leadership(leadership) {}
-    const ShardRecords& replica;  // kept by replica_
+    const ShardRecords& replica;  // owned by replica_
     ShardUsage usage;
-    const ShardLeadership& leadership;  // kept by election_
+    const ShardLeadership& leadership;  // owned by election_
     MachineSilence silence;
     CycleState cycle;
   };
 
-  // --- replica (replica_events.cc): what its changes mean for everything else ------
+  // --- ReplicaObserver (replica_events.cc) ------------------------------------------------
   void OnJobOpen(const std::string& id, const JobEntry& entry) override;
   void OnJobFinished(Micros now, const std::string& id, const JobEntry& entry) override;
   void OnJobUnblocked(const std::string& id, const JobEntry& entry) override;
@@ -194,15 +195,14 @@
   void OnStateWriteSent() override;
   ShardUsage UsageOf(const AssignmentTable& table) const;
   MachineUsage CountUsage(const AssignedMachine& machine) const;
-  // Whether there is such a shard, and this node leads it.
+  // Whether the shard exists and this node leads it.
   bool LeadsShard(int shard_id) const;
   void LogCancellation(Micros now, const std::string& id, std::string_view source);
 
   Shard& ShardAt(int shard_id) { return shards_[static_cast<size_t>(shard_id)]; }
   const Shard& ShardAt(int shard_id) const { return shards_[static_cast<size_t>(shard_id)]; }
 
-  // --- heartbeats (agents/peer_reports.cc): the core's side of MachineStatusSource and of
-  // PeerReportListener --------------------------------------------------------------
+  // --- MachineStatusSource and PeerReportListener (peer_reports.cc) -------------------------
   uint64_t ReplicaRevision() const override { return sync_.feed().revision(); }
   std::vector<mesh::SilentMachine> SilentMachines(Micros now, size_t limit) const override;
   CachedImagesPage CachedImagesFrom(const MachineCursor& from, size_t limit) const override;
@@ -211,11 +211,10 @@
   void OnCachedImagesReported(Micros now, const mesh::CachedImages& cached) override;
   bool OnMachineSilent(Micros now, const std::string& machine, Micros silent) override;
   void OnMachineHeardAgain(const std::string& machine) override;
-  // Whether the machine is in the assignment table of a shard that is not ours.
+  // Whether the machine is assigned to a shard that another node leads.
   bool LedByAnother(const std::string& machine) const;
 
-  // --- leadership: the core's side of LeadershipStore (leadership_store.cc) and of
-  // LeadershipObserver (agents/takeover.cc) ------------------------------------------
+  // --- LeadershipStore (leadership_store.cc) and LeadershipObserver (takeover.cc) -----------
   uint64_t LeadershipVersion(int shard_id) const override {
     return ShardAt(shard_id).replica.leadership_version;
   }
@@ -234,21 +233,21 @@
   void OnLeadershipLost(Micros now, int shard_id, LossReason reason) override;
   void OnWritesSent(size_t writes) override { counters_.puts += writes; }
   void ClearDecisions(int shard_id);
-  // What a new leader assumes of the machines of its shard.
+  // Initialises the state of the shard's machines for a new leader.
   void InheritMachines(Micros now, int shard_id);
   static void InheritMachine(uint64_t epoch, const AssignedMachine& machine, AgentState* info);
 
-  // --- workers (reports.cc, worker_state.cc, commands.cc) ---------------------------
+  // --- agents (agents/*.cc) -----------------------------------------------------------------
   struct AttemptState {
     std::string machine;
     int shard_id = 0;
-    uint64_t sync_generation = 0;  // of the last time that the assignment table had it
-    bool fresh = false;            // decided by this process: its start is ours to send
-    bool seen = false;             // a report had it
-    bool gone = false;             // proven gone; leaves the assignment table at the next commit
+    uint64_t sync_generation = 0;  // of the last table that contained the attempt
+    bool fresh = false;            // decided by this process, which therefore sends the start
+    bool seen = false;             // contained in some heartbeat
+    bool gone = false;             // proven to have terminated; removed by the next commit
     uint64_t start_token = 0;      // of the direct command that started it
-    bool direct = false;           // its start is in a direct command without an answer yet
-    bool moved = false;            // is being moved for the tail
+    bool direct = false;           // a direct start command awaits its answer
+    bool moved = false;            // being moved to a tail machine
     bool stopping = false;
     Micros stop_at = 0;  // when the stop was decided
     Micros grace = 0;
@@ -256,105 +255,104 @@
     TaskState state = TaskState::kFetching;
     Micros placed_at = 0;
     Micros running_at = 0;
-    uint64_t session = 0;    // in which the start was sent
-    uint64_t reply_seq = 0;  // report whose reply carried the start last
+    uint64_t session = 0;    // agent incarnation that the start was sent to
+    uint64_t reply_seq = 0;  // heartbeat whose reply last carried the start
   };
   struct AgentState {
     std::string addr;
     uint64_t session = 0;
     uint64_t seq = 0;
     uint64_t token_seen = 0;
-    uint64_t fencing_token = 0;   // our token for it, where higher than the epoch's
-    uint64_t required_token = 0;  // absences prove nothing until the worker saw this
-    Micros heard = 0;             // last report or answer
-    Micros since = 0;             // when we began to care for it
+    uint64_t fencing_token = 0;   // of this machine, if above the epoch's token
+    uint64_t required_token = 0;  // absences prove nothing until the agent has seen this token
+    Micros heard = 0;             // last heartbeat or direct answer
+    Micros since = 0;             // start of the observation by this node
     Micros first_heard = 0;
-    Micros reported_silent_since = 0;  // a peer that owned it missed it since then
-    // Whether our answers reach it. Its reports may while these do not.
-    Micros answered_at = 0;        // last 200 to a report of this session
-    std::vector<Attempt> ordered;  // starts and reaps of the last answer
-    int ignored_replies = 0;       // answers in a row whose orders did nothing
-    int lease_losses = 0;          // leases in a row that ended although we answered
+    Micros reported_silent_since = 0;  // reported by the leader of its shard
+    // Whether replies reach the agent; its heartbeats may arrive while they do not.
+    Micros answered_at = 0;        // last reply with status 200 in this incarnation
+    std::vector<Attempt> ordered;  // starts and forget commands of the last reply
+    int ignored_replies = 0;       // consecutive replies without effect
+    int lease_losses = 0;          // consecutive leases that expired despite replies
     bool direct_busy = false;
     int direct_failures = 0;
     Micros no_direct_before = 0;
-    bool probe = false;     // ask for its state, we know no session yet
-    Micros notice_end = 0;  // the cloud takes it away then; 0: no notice
-    bool failed = false;    // the cloud says so
-    bool missing = false;   // was listed, is no longer
+    bool probe = false;     // request its state: no incarnation is known
+    Micros notice_end = 0;  // end of the eviction notice; 0: none
+    bool failed = false;    // according to the cloud
+    bool missing = false;   // no longer listed by the cloud
     bool listed = false;
     bool listed_running = false;
     Micros idle_since = 0;
-    Micros avoid_until = 0;       // refused a start for lack of room
-    uint64_t assigned_epoch = 0;  // leadership under which it is in an assignment table of ours
-    int last_shard = -1;          // that had it
-    bool drain = false;           // being cleared to be given back
+    Micros avoid_until = 0;       // after a start refused for lack of room
+    uint64_t assigned_epoch = 0;  // epoch under which it was assigned to this shard
+    int last_shard = -1;          // that it was assigned to
+    bool drain = false;           // being drained by consolidation
     bool declared_lost = false;   // to be returned even with tasks on it
     std::vector<TaskStatus> tasks;
-    std::map<std::string, Micros> images;  // by last use
+    std::map<std::string, Micros> images;  // cached images by time of last use
     std::map<std::string, double> image_gb;
-    // As a non-leader.
+    // Redirects and relays, while another node leads.
     Micros redirected_at = 0;
     std::string redirected_to;
     Micros relay_until = 0;
   };
-  // Answers in a row without effect after which a machine gets no more work.
+  // Consecutive replies without effect after which a machine gets no more work.
   static constexpr int kMaxIgnoredReplies = 2;
-  // How long a direct command may take; then its machine is fenced.
+  // Timeout of a direct command; after it the machine is fenced.
   static constexpr Micros kCommandTimeout = 2 * kSecond;
 
-  // Where a report came from and its answer goes.
+  // Origin of a heartbeat, to which its reply goes.
   struct HeartbeatSource {
-    uint64_t request = 0;  // the worker's, when it came to us
-    std::string peer;      // that relayed it; empty: it came to us
-    uint64_t relay = 0;    // the relay's number at that peer
+    uint64_t request = 0;  // id of the agent's request; 0 if relayed
+    std::string peer;      // that relayed it; empty if received directly
+    uint64_t relay = 0;    // id of the relay at that peer
   };
   void HandleAgentHeartbeat(Micros now, const HeartbeatSource& source, const std::string& body);
-  // Of a machine in no assignment table: it may be adopted soon.
+  // Handles a heartbeat from a machine in no assignment table, which may be adopted soon.
   void HandleUnassignedAgent(Micros now, const HeartbeatSource& source,
                              const AgentHeartbeat& report, const std::string& body);
-  // Sends the worker to the leader of its shard, or relays its report to the leader.
+  // Redirects the agent to the leader of its shard, or relays its heartbeat there.
   void RedirectOrRelay(Micros now, const HeartbeatSource& source, int shard_id,
                        const AgentHeartbeat& report, const std::string& body);
   bool NeedsRelay(Micros now, const std::string& leader, AgentState* info) const;
   void HandleRelayReply(const mesh::RelayedAgentHeartbeatReply& reply);
   void EndStaleRelays(Micros now);
-  // Whether to keep the leases of a shard's workers alive for a leader that ended
-  // while nobody can reach the state service to take its place.
+  // Whether to renew leases for a leader that ended while no node reaches the store to replace it.
   bool MayRenewOnBehalf(Micros now, int shard_id, const AgentHeartbeat& report) const;
   void RenewOnBehalf(const RenewalPermit& permit, const HeartbeatSource& source,
                      const AgentHeartbeat& report);
   void ReplyAsLeader(Micros now, const HeartbeatSource& source, int shard_id,
                      const AgentHeartbeat& report);
   void ReplyToHeartbeat(const HeartbeatSource& source, int status, std::string body);
-  // Stops of what a report shows of jobs that are over: each answer that renews a lease
-  // bears them.
+  // Stops for reported tasks of finished jobs; every reply that renews a lease contains them.
   std::vector<Command> StopsForFinishedJobs(const AgentHeartbeat& report) const;
   void RecordReply(Micros now, AgentState* info, const std::vector<Command>& orders);
   void CheckCommandsTookEffect(Micros now, int shard_id, AgentState* info,
                                const AgentHeartbeat& report, bool new_session);
-  // A new session began: the lease ended although we may just have renewed it.
+  // Handles a new incarnation: the previous lease expired even though it may just have been
+  // renewed.
   void CheckReplyKeptLease(Micros now, int shard_id, AgentState* info,
                            const AgentHeartbeat& report);
-  // Whether the report shows that the last answer's order for this attempt was carried out.
+  // Whether the heartbeat shows the effect of the last reply's command for this attempt.
   bool CommandTookEffect(const Attempt& attempt, const AgentHeartbeat& report) const;
 
-  // What a report's absences may prove.
+  // What the absence of a task from a heartbeat can prove.
   struct Evidence {
     const AgentHeartbeat& report;
-    bool new_session = false;  // it is the first of its session
-    bool direct = false;       // it answers a direct command
-    bool clean = false;        // no command sent before the worker's token can still run
+    bool new_session = false;  // first heartbeat of its incarnation
+    bool direct = false;       // answer to a direct command
+    bool clean = false;        // no command sent under an older token can still run
   };
-  // Learns from a report or from the answer to a direct command. False when it
-  // is not newer than what is known.
+  // Updates the machine and its tasks from a heartbeat or direct answer. Returns false if it is not
+  // newer than the last one.
   bool ReconcileAgent(Micros now, int shard_id, const AssignedMachine& machine,
                       const AgentHeartbeat& report, bool direct);
   void RecordHeartbeat(Micros now, int shard_id, const AgentHeartbeat& report, bool direct,
                        AgentState* info);
   void UpdateTask(Micros now, int shard_id, const AssignedMachine& machine, const Attempt& attempt,
                   AttemptState* known, uint64_t session, const TaskStatus& task);
-  // Whether an attempt that a report lacks is gone, and can not begin any more.
+  // Whether an attempt missing from the heartbeat has terminated and cannot start any more.
   bool ProvesAbsence(const Evidence& evidence, const Attempt& attempt,
                      const AttemptState& known) const;
   void HandleTaskExit(Micros now, int shard_id, const AssignedMachine& machine,
@@ -363,7 +361,7 @@
   void RecordTaskGone(int shard_id, const Attempt& attempt, AttemptState* known);
 
   AttemptState* FindAttempt(const Attempt& attempt);
-  // The orders that answer a report which was taken.
+  // Commands for the reply to an accepted heartbeat.
   std::vector<Command> MakeCommands(Micros now, int shard_id, const AssignedMachine& machine,
                                     const AgentHeartbeat& report);
   void CommandForTask(Micros now, const AssignedMachine& machine, bool clean,
@@ -371,38 +369,38 @@
   void RetryStarts(Micros now, int shard_id, const AssignedMachine& machine,
                    const AgentHeartbeat& report, const std::set<Attempt>& reported,
                    std::vector<Command>* orders);
-  // Commands that are sent without waiting for a report.
+  // Commands sent without waiting for a heartbeat.
   struct DirectCommands {
     uint64_t epoch = 0;
     uint64_t token = 0;
     std::vector<Command> orders;
     std::vector<Attempt> started, stopped;
   };
-  // Sends what a machine has to hear now instead of waiting for its next report.
+  // Sends pending commands directly instead of in the next heartbeat's reply.
   void SendDirectCommands(Micros now, int shard_id, const std::string& machine);
   DirectCommands MakeDirectCommands(Micros now, int shard_id, const AssignedMachine& machine,
                                     const AgentState& info);
   void OnCommandsAnswered(Micros now, int shard_id, const std::string& name,
                           const DirectCommands& commands, int status, const std::string& body);
-  // Asks a machine for its state: no session is known, or it does not seem to hear us.
+  // Requests a machine's state: no incarnation is known, or commands do not seem to reach it.
   void Probe(Micros now, int shard_id, const std::string& machine);
   void OnProbeAnswered(Micros now, int shard_id, const std::string& name, int status,
                        const std::string& body);
   static void RecordDirectFailure(Micros now, AgentState* info);
-  // Tokens leave room below each revision for fencing tokens, which so need no commit: no other
-  // election or move has the same revision, and all later ones have higher tokens.
+  // Tokens have this many bits below the revision for fencing, so that raising one needs no commit.
+  // No other election or transfer has the same revision, and later ones have higher tokens.
   static constexpr int kFencingBits = 20;
   static uint64_t TokenForEpoch(uint64_t revision) { return revision << kFencingBits; }
   uint64_t TokenOf(int shard_id, const AgentState& info) const;
-  // Absences on the machine prove nothing, and commands up to `token` may still run, until
-  // it has seen a higher token, which it is given from now on.
+  // Ignores absences until the agent has seen a token above `token`, up to which commands may still
+  // run. Later commands carry the raised token.
   void RaiseFencingToken(int shard_id, AgentState* info, uint64_t token);
   void StopAttempt(Micros now, const Attempt& attempt, AttemptState* info, Micros grace);
   void StopJob(Micros now, const std::string& job);
 
   // --- permits (permit_checks.cc) --------------------------------------------------
   void NoteViolation(Violation violation, const std::string& known);
-  // Whether the replica of the shard's table holds the attempt on that machine.
+  // Whether the replica assigns the attempt to the machine.
   bool IsAssigned(int shard_id, const std::string& machine, const Attempt& attempt) const;
   std::optional<StartPermit> JudgeStart(Micros now, int shard_id, const std::string& machine,
                                         const Attempt& attempt);
@@ -417,20 +415,20 @@
   void RecordImageUse(AgentState* info, const std::string& type, const std::string& image,
                       double gb, Micros now);
 
-  // --- rounds (rounds, placing, taking, preemption, helping, commit .cc) ---------
+  // --- scheduling cycles (scheduler/*.cc) --------------------------------------------------
   struct JobExecution {
     int shard_id = 0;
-    std::vector<uint8_t> tasks;  // kWaiting, kPlaced, kDone
+    std::vector<uint8_t> tasks;  // kWaiting, kPlaced or kDone
     int done = 0;
     int placed = 0;
     std::vector<int> placed_list;
-    int hint = 0;  // no waiting task before this one
+    int hint = 0;  // no task before it is waiting
     std::vector<Micros> durations;
-    std::set<int> moved;             // tasks that were moved to steady machines once
+    std::set<int> moved;             // moved to tail machines, at most once each
     Micros last_start = 0;           // of a task, or when the job came to this leader
-    Micros unplaced_since = 0;       // waits without a machine since then
-    Micros move_at = 0;              // when it may look for another shard again
-    std::map<int, int> preemptions;  // how often a task was stopped for other work
+    Micros unplaced_since = 0;       // start of the wait without a machine; 0: none
+    Micros move_at = 0;              // next attempt to move to another shard
+    std::map<int, int> preemptions;  // by task
   };
   enum : uint8_t { kWaiting = 0, kPlaced = 1, kDone = 2 };
   JobExecution* FindExecution(const std::string& job);
@@ -448,13 +446,13 @@
   struct Preemptible;
   struct PreemptibleTask;
   struct PendingJob;
-  // Cpus that are kept free on steady machines: in all, in each zone for services that spread,
-  // and where each service's image is.
+  // Free milli-CPUs kept for services on steady machines: in total, per zone if services spread
+  // over zones, and on machines that cache a service's image.
   struct Headroom {
     int64_t steady = 0;
     int64_t zone = 0;
     int64_t image = 0;
-    bool lendable = false;  // work that saves nothing may use it
+    bool lendable = false;  // tasks without checkpoints may borrow it
   };
   Headroom HeadroomOf(int shard_id, const Plan& plan) const;
   size_t MaxJobsPerCycle(int shard_id) const;
@@ -485,14 +483,14 @@
     Attempt attempt;
     AttemptState* info;
   };
-  // What is left of an array whose tail has begun.
+  // An array in its tail.
   struct Tail {
     const JobSpec& spec;
     JobExecution* run;
     Micros median;  // run time of its tasks
     int pending;
     std::vector<OverdueTask> overdue;
-    int room;  // steady, in tasks
+    int room;  // of tasks, on existing steady machines
     int candidates() const { return pending + static_cast<int>(overdue.size()); }
   };
   void PlanTailHelp(Micros now, int shard_id, Plan* plan);
@@ -514,7 +512,7 @@
   bool PlanQuotaTransfer(Micros now, int shard_id, Plan* plan, const Team& team,
                          const QuotaShare& want);
   void Commit(Micros now, int shard_id, Plan* plan);
-  // table_form.cc: the form in which a table is stored.
+  // Storage form of the table (table_form.cc).
   bool NeedsCompactForm(const Shard& shard) const;
   bool MayChangeTable(const Shard& shard) const;
   AssignmentTable FirstCompactTable(const Shard& shard) const;
@@ -524,7 +522,7 @@
   bool GrowTable(Micros now, int shard_id);
   bool CommitWithoutPlan(Micros now, int shard_id, AssignmentTable assignments, StateTxn txn,
                          bool progress = false);
-  // job_records.cc: changes of job records and progress that need no change of the table.
+  // Commits of job records and progress alone (job_records.cc).
   bool CommitJobRecords(Micros now, int shard_id);
   void WriteCascadeCancelled(int shard_id, StateTxn* txn) const;
   void WriteDoneRecords(Micros now, int shard_id, StateTxn* txn) const;
@@ -542,7 +540,7 @@
   static bool MayCommitNow(Micros now, Shard* shard, const Plan& plan);
   bool ReserveWrites(Micros now, int shard_id, const Plan& plan, size_t writes);
   void AddConditions(int shard_id, const Plan& plan, StateTxn* txn) const;
-  // A condition on the whole table: on its header alone once every commit writes that.
+  // Condition on the whole table: the header alone once all nodes write it in every commit.
   void AddTableConditions(int shard_id, StateTxn* txn) const;
   void AddHeaderCondition(int shard_id, StateTxn* txn) const;
   bool FitsTransaction(const StateTxn& txn, const std::string& body) const;
@@ -560,7 +558,7 @@
   ResourceUsage TotalUsageOf(const AssignmentTable& assignments) const;
   int64_t SteadyHeadroom(int shard_id) const;
   bool SpreadServices(int shard_id) const;
-  // The last moment at which the rest of a job may start and still be in time.
+  // Latest time of day at which the rest of a job may start and still be on time.
   Micros LatestStart(const JobEntry& job) const;
   std::vector<Micros> LatestStarts(const JobEntry& job) const;
   bool IsLastInZone(const Plan& plan, const CandidateMachine& machine) const;
@@ -578,7 +576,7 @@
   void AdoptUnknownInstances(Micros now, int shard_id, Plan* plan);
   bool AdoptUnknownInstance(int shard_id, AssignedMachine machine, Plan* plan);
   bool MayBeRented(int shard_id, const AssignedMachine& machine, const Plan& plan) const;
-  // Free cpus while machines go back, and those that arrays keep.
+  // Free milli-CPUs while machines are returned, and those kept for arrays.
   struct FreeCapacity {
     int64_t steady = 0;
     int64_t spot = 0;
@@ -594,7 +592,7 @@
   void AddRental(int shard_id, Plan* plan, const Offer& offer, int count, const std::string& helps,
                  const std::string& reason);
 
-  // --- fleet (fleet.cc, returns.cc, cloud.cc, silence.cc) ----------------------------------
+  // --- fleet (instances.cc, agents/failure_detection.cc) -------------------------------------
   void RunCloud(Micros now);
   void ReconcileInstances(Micros now, Micros asked, const std::vector<ListedMachine>& instances);
   void SendRentals(Micros now, int shard_id, const std::vector<std::string>& requests);
@@ -605,7 +603,7 @@
   void CheckMachines(Micros now, int shard_id);
   struct ShardSilence {
     bool all_silent = false;
-    bool most_silent_lately = false;  // most machines were silent within the last lease
+    bool most_silent_lately = false;  // within the last lease
     std::set<std::string> partitioned_zones;
   };
   ShardSilence AssessSilence(Micros now, int shard_id);
@@ -620,14 +618,14 @@
   bool RetryStops(Micros now, const AssignedMachine& machine, const AgentState& info);
   static std::map<std::string, int> InstancesByZone(const AssignmentTable& assignments);
 
-  // --- plumbing (core.cc) --------------------------------------------------------------
+  // --- common (core.cc) --------------------------------------------------------------------
   void ShareLimits(Micros now);
   void After(Micros now);
   Micros WallNow(Micros now) const { return now + wall_offset_; }
 
   const Settings settings_;
-  // What the node may ask of the state service and of the cloud.
-  FairTurns write_turns_;  // of the shards that are ours
+  // Rate limits of this node.
+  FairTurns write_turns_;  // between the shards that it leads
   TokenBucket write_budget_;
   TokenBucket state_budget_;
   TokenBucket cloud_budget_;
@@ -655,20 +653,19 @@
   HeartbeatExchange heartbeats_;
 
   // Users' API.
-  class UserApiView;  // implements what the module asks of a controller
+  class UserApiView;  // implements the interfaces of src/core/api
   const std::unique_ptr<UserApiView> user_api_view_;
   UserApi user_api_;
 
-  // Workers.
+  // Agents.
   std::map<Attempt, AttemptState> attempts_;
   std::unordered_map<std::string, AgentState> machines_;
-  std::map<std::string, AgentHeartbeat>
-      unassigned_agents_;  // machines in no assignment table, by last report
+  std::map<std::string, AgentHeartbeat> unassigned_agents_;  // by last heartbeat
   uint64_t next_relay_;
-  std::map<uint64_t, std::pair<uint64_t, Micros>> relays_;  // relay id -> request
+  std::map<uint64_t, std::pair<uint64_t, Micros>> relays_;  // by relay id: request id and start
   FailureTracker health_;
 
-  // Rounds.
+  // Scheduling.
   std::unordered_map<std::string, JobExecution> executions_;
 
   // Fleet.
@@ -681,9 +678,9 @@
   InstanceReturns instance_returns_;
   std::map<std::string, Micros> unknown_instance_since_;
   std::map<std::string, Micros>
-      removed_instances_;  // left the assignment tables: lists still show them
+      removed_instances_;  // by time of removal; lists may still show them
   uint64_t sync_generation_ = 0;
-  std::map<std::string, Micros> free_since_;  // others' machines, for taking
+  std::map<std::string, Micros> free_since_;  // machines of other shards, candidates for transfer
   Micros next_machine_check_ = 0;
   bool some_silent_ = false;
 };
--- a/src/core/instances.cc
+++ b/src/core/instances.cc
@@ -1,4 +1,4 @@
-// What is asked of the cloud at every tick, and what its list of instances says.
+// Calls to the cloud at every tick, and reconciliation of its list of instances.
 #include <algorithm>
 
 #include "core/core.h"
@@ -9,8 +9,7 @@
 constexpr Micros kMachineCheckPeriod = 250 * kMillisecond;
 }  // namespace
 
-// What a complete list of the cloud's says of our instances. Its first page was asked for at
-// `asked`.
+// Reconciles a complete list from the cloud with the machines. The list was requested at `asked`.
 void Core::ReconcileInstances(Micros now, Micros asked,
                               const std::vector<ListedMachine>& instances) {
   std::set<std::string> names;
@@ -26,15 +25,14 @@
     info.missing = false;
     info.listed_running = m.state == ListedMachine::State::kRunning;
     info.failed = m.state == ListedMachine::State::kFailed;
-    // Of a booting machine the address is of no use yet: a call would hang, and
-    // keep the first real one waiting.
+    // A call to a booting machine would hang and delay the first useful one.
     if (info.addr.empty() && info.listed_running) info.addr = m.addr;
   }
   for (const Shard& shard : shards_) {
     for (const auto& [name, m] : shard.replica.assignments.machines) {
       AgentState& info = machines_[name];
-      // A list may be older than the one before it: only a machine that has
-      // been up for longer than any list lags is missed.
+      // Lists can arrive out of order: only a machine that has been up for longer than lists lag
+      // can be missing.
       bool old = info.first_heard != 0 && asked - info.first_heard > 3 * settings_.list_lag;
       if (old && info.listed && names.count(name) == 0) info.missing = true;
     }
@@ -53,7 +51,7 @@
   });
 }
 
-// Scale out: sends the shard's rental requests that are on record.
+// Scale out: sends the shard's committed rental requests.
 void Core::SendRentals(Micros now, int shard_id, const std::vector<std::string>& requests) {
   const Shard& shard = ShardAt(shard_id);
   if (!shard.leadership.is_leader) return;
@@ -70,15 +68,15 @@
   MarkDirty(shard_id);
 }
 
-// Scale in: sends the shard's instances that leave back to the cloud.
+// Scale in: returns the shard's draining instances to the cloud.
 void Core::SendReturns(Micros now, int shard_id) {
   const Shard& shard = ShardAt(shard_id);
   if (!shard.leadership.is_leader || !shard.usage.any_draining) return;
   instance_returns_.Send(now, shard_id, shard.replica.assignments.machines);
 }
 
-// Confirmed by the cloud: the instance and everything on it is gone. False: it is no longer
-// this node's to drop.
+// The cloud confirmed the return: the instance and its tasks no longer exist. Returns false if this
+// node no longer leads the instance's shard.
 bool Core::OnInstanceReturned(int shard_id, const std::string& name) {
   const Shard& shard = ShardAt(shard_id);
   auto instance = shard.replica.assignments.machines.find(name);
@@ -109,7 +107,7 @@
     if (now >= next_machine_check_) CheckMachines(now, shard_id);
   }
   if (now >= next_machine_check_) next_machine_check_ = now + kMachineCheckPeriod;
-  // Rentals and returns come first.
+  // Rentals and returns take precedence over listing.
   if (any && sync_.feed().synced()) instance_lister_.Advance(now);
 }
 
--- a/src/core/leadership_store.cc
+++ b/src/core/leadership_store.cc
@@ -1,4 +1,4 @@
-// The stored state of shards as elections need it: see LeadershipStore.
+// Core's implementation of LeadershipStore: the stored state that elections need.
 #include "core/core.h"
 
 namespace troutlink {
--- a/src/core/peer_reports.cc
+++ b/src/core/peer_reports.cc
@@ -1,5 +1,5 @@
-// Machines and jobs in heartbeats: what peers are told of the machines of this node's shards, and
-// what they report of theirs.
+// Core's implementation of MachineStatusSource and PeerReportListener: machine status sent to and
+// received from peers.
 #include <algorithm>
 
 #include "core/core.h"
@@ -51,8 +51,7 @@
   return images;
 }
 
-// Our replica may lag, or we may be cut off from the state service: the tasks must end
-// all the same.
+// Tasks must stop even if the replica lags or this node is partitioned from the store.
 void Core::OnCancellationReported(Micros now, const std::string& id) {
   const JobEntry* job = jobs_.Find(id);
   if (job != nullptr && job->record.state != JobState::kOpen) return;
@@ -60,7 +59,7 @@
   ++counters_.reported_cancellations;
   LogCancellation(now, id, "peer");
   StopJob(now, id);
-  // A leader whose replica lags stores that what depends on it is cancelled too.
+  // The shard's leader stores the cascaded cancellations.
   jobs_.CascadeCancellation(id);
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     if (ShardAt(shard_id).leadership.is_leader) MarkDirty(shard_id);
@@ -72,7 +71,7 @@
   return shard_id >= 0 && !ShardAt(shard_id).leadership.is_leader;
 }
 
-// Kept with the machine: who takes it over knows what it has.
+// Kept for a failover of the machine's shard to this node.
 void Core::OnCachedImagesReported(Micros now, const mesh::CachedImages& cached) {
   if (!LedByAnother(cached.machine)) return;
   AgentState& info = machines_[cached.machine];
--- a/src/core/permit_checks.cc
+++ b/src/core/permit_checks.cc
@@ -1,4 +1,4 @@
-// Permits judged by what this controller knows, and the answers that need one.
+// Evaluates permits on this node's state, and sends the replies that require one.
 #include <algorithm>
 
 #include "core/core.h"
@@ -68,8 +68,8 @@
   return std::nullopt;
 }
 
-// The only place at which a lease is renewed. What the worker reported of jobs that are over must
-// be stopped by the same answer.
+// The only place that renews an agent's lease. The same reply must stop all reported tasks of
+// finished jobs.
 void Core::ReplyWithRenewal(const RenewalPermit& /*permit*/, const HeartbeatSource& source,
                             const AgentHeartbeat& report, uint64_t token,
                             std::vector<Command> orders) {
--- a/src/core/replica_events.cc
+++ b/src/core/replica_events.cc
@@ -1,4 +1,4 @@
-// What the core does when the replica changes: it implements ReplicaObserver.
+// Core's implementation of ReplicaObserver: reactions to changes of the replica.
 #include "core/core.h"
 #include "core/io/event.h"
 
@@ -10,7 +10,7 @@
   const int shard_id = entry.record.shard_id;
   auto run = executions_.find(id);
   if (run != executions_.end() && run->second.shard_id != shard_id)
-    executions_.erase(run);  // it moved
+    executions_.erase(run);  // it moved to another shard
   if (!LeadsShard(shard_id)) return;
   LoadExecution(shard_id, id, entry);
   MarkDirty(shard_id);
@@ -57,8 +57,8 @@
 
 void Core::OnMachineAssigned(Micros now, int shard_id, const AssignedMachine& machine) {
   const std::string& name = machine.name;
-  // A machine that was here, went to another shard and came back has seen a higher token
-  // than the one that we knew it by: it was refused until it counted as silent.
+  // A machine that returns from another shard has seen a higher token than this node last used for
+  // it: reset assigned_epoch so that a new token is computed.
   AgentState& info = machines_[name];
   if (info.last_shard != shard_id) {
     info.last_shard = shard_id;
@@ -123,7 +123,7 @@
   election_.OnRecordErased(now, shard_id, revision);
 }
 
-// --- the rest ----------------------------------------------------------------------------
+// --- other -------------------------------------------------------------------------------
 
 void Core::OnMachineTypes(const std::string& value) { machine_types_.LoadStored(value); }
 
@@ -139,7 +139,7 @@
          ShardAt(shard_id).leadership.is_leader;
 }
 
-// `source`: how it was learnt.
+// `source`: where the cancellation was learned from.
 void Core::LogCancellation(Micros now, const std::string& id, std::string_view source) {
   if (!effects_.logs_debug()) return;
   const ReplicaFeed& feed = sync_.feed();
--- a/src/core/takeover.cc
+++ b/src/core/takeover.cc
@@ -1,5 +1,5 @@
-// What a new leader assumes of its shard: everything decided under an earlier leadership is
-// forgotten, and the machines are taken over with the silence that the previous leader reported.
+// Core's implementation of LeadershipObserver: on election, decisions of earlier epochs are
+// dropped, and machines are inherited with the silence that the previous leader reported.
 #include <algorithm>
 
 #include "core/core.h"
@@ -53,7 +53,7 @@
   if (reason == LossReason::kFailback) ++counters_.failbacks;
 }
 
-// Whatever we knew of its attempts may be of an earlier leadership.
+// State of attempts and jobs may stem from an earlier leadership.
 void Core::ClearDecisions(int shard_id) {
   std::erase_if(attempts_, [&](const auto& item) { return item.second.shard_id == shard_id; });
   std::erase_if(executions_, [&](const auto& item) { return item.second.shard_id == shard_id; });
@@ -61,8 +61,8 @@
 
 void Core::InheritMachines(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
-  // What the previous leader told of silent machines counts if it told it just now. Else
-  // each machine has the time for two reports first: it may be well and heard elsewhere.
+  // Silence reported by the previous leader counts if the report is recent. Otherwise each machine
+  // gets time for two heartbeats first: it may have been heard elsewhere.
   Micros last_alive = now,
          earliest = now - settings_.agent_lease + 2 * settings_.heartbeat_period + kHeardSlack;
   if (const Peer* peer = peers_.Find(shard.leadership.previous_leader);
@@ -74,9 +74,8 @@
   for (const auto& [name, machine] : shard.replica.assignments.machines) {
     AgentState& info = machines_[name];
     InheritMachine(shard.leadership.epoch, machine, &info);
-    // Its silence began when the previous leader missed it, or with that leader's end,
-    // and not with the election: a shard that changed hands twice while many machines were
-    // cut off once waited two leases for them.
+    // Silence counts from when the previous leader missed the machine, or from the end of that
+    // leader, and not from the election: repeated failovers must not extend the timeout.
     const bool was_missed = info.reported_silent_since > info.heard;
     info.since = std::max(was_missed ? info.reported_silent_since : last_alive, earliest);
     if (info.first_heard == 0 && (was_missed || !machine.addr.empty())) {
@@ -88,12 +87,11 @@
 }
 
 void Core::InheritMachine(uint64_t epoch, const AssignedMachine& machine, AgentState* info) {
-  // Commands of the previous leader may still run until the worker has seen
-  // our token; until then its reports prove no absence.
+  // Commands of the previous leader may still run until the agent has seen the new token; until
+  // then absences prove nothing.
   info->required_token = std::max(info->required_token, TokenForEpoch(epoch));
   info->assigned_epoch = epoch;
-  // Nor does anything count that we concluded as an earlier leader: a node that came
-  // back from a cut once gave all its machines back for that.
+  // Conclusions from an earlier leadership of this node are out of date.
   info->declared_lost = info->drain = false;
   info->ignored_replies = info->lease_losses = 0;
   info->avoid_until = 0;
--- a/src/core/user_api_view.cc
+++ b/src/core/user_api_view.cc
@@ -3,7 +3,7 @@
 namespace troutlink {
 
 namespace {
-// A peer that was silent for longer is not counted on for a shard, or for a user's request.
+// Longer silence of a peer disqualifies it as a shard's leader, or as a target of forwarding.
 constexpr Micros kLeaderAlive = 1500 * kMillisecond;
 constexpr Micros kPeerFresh = kSecond;
 }  // namespace
--- a/src/core/user_api_view.h
+++ b/src/core/user_api_view.h
@@ -1,4 +1,4 @@
-// What the users' API sees of a controller.
+// Core as the users' API sees it.
 #ifndef TROUTLINK_CORE_USER_API_VIEW_H_
 #define TROUTLINK_CORE_USER_API_VIEW_H_
 
@@ -14,13 +14,13 @@
 
 namespace troutlink {
 
-// Implements the interfaces that src/core/api defines. Holds nothing but the controller.
+// Implements the interfaces that src/core/api defines.
 class Core::UserApiView : public JobDirectory,
                           public ClusterStatus,
                           public CancellationChannel,
                           public ShardLoads {
  public:
-  // `core` must outlive it.
+  // `core` must outlive this object.
   explicit UserApiView(Core& core) : core_(core) {}
 
   // JobDirectory.
