--- a/src/core/leadership/heartbeat_exchange.cc
+++ b/src/core/leadership/heartbeat_exchange.cc
@@ -8,9 +8,9 @@
 namespace {
 constexpr Micros kPingPeriod = 500 * kMillisecond;
 constexpr Micros kCachedImagesPeriod = 2 * kSecond;
-// Machines in one message. With names as the cloud gives them, all of these and the most cancels
-// that are told take three quarters of a frame.
-constexpr size_t kMaxCachedImages = 1000;    // the next ones follow in the next message
+// Maximum entries per message. Together with the maximum of cancellations they stay below the frame
+// limit of the peer transport.
+constexpr size_t kMaxCachedImages = 1000;  // the next message continues with the following machines
 constexpr size_t kMaxSilentMachines = 8000;  // a whole fleet may fall silent
 constexpr uint64_t kMaxSilence = 3600 * kSecond;
 }  // namespace
@@ -29,8 +29,8 @@
   }
 }
 
-// What machines hold is long and changes slowly. Of a large fleet a part at a time, in turn:
-// receivers keep what they heard of each machine.
+// Cached images are a long list that changes slowly. For a large fleet each message carries the
+// next part; receivers keep what they have of the other machines.
 std::vector<mesh::CachedImages> HeartbeatExchange::NextCachedImages(Micros now) {
   if (now < next_cached_images_) return {};
   next_cached_images_ = now + kCachedImagesPeriod;
@@ -88,8 +88,7 @@
       silent_machines.insert(silent.machine);
     }
   }
-  // Heard again by its leader: whoever takes the shard over must not think that it was
-  // silent all the time since.
+  // Machines that their leader hears again must not count as silent after a failover.
   for (const std::string& name : with_.peers->ExchangeSilentMachines(from, silent_machines)) {
     if (silent_machines.count(name) == 0) with_.listener->OnMachineHeardAgain(name);
   }
--- a/src/core/leadership/heartbeat_exchange.h
+++ b/src/core/leadership/heartbeat_exchange.h
@@ -19,11 +19,11 @@
 
 namespace troutlink {
 
-// Sends every peer a ping twice a second, answers the peers' pings, and passes on what both kinds
-// of heartbeat report: to the peer table, the election, the cancellation log and the listener.
+// Sends a ping to every peer twice a second, answers the peers' pings, and passes the content of
+// received heartbeats to the peer table, the election, the cancellation log and the listener.
 class HeartbeatExchange {
  public:
-  // What the exchange reads and informs; all of it must outlive the exchange.
+  // Must outlive the exchange.
   struct Collaborators {
     Effects* effects;
     PeerTable* peers;
@@ -33,24 +33,24 @@
     const MachineStatusSource* source;
     PeerReportListener* listener;
   };
-  // Pings are numbered from `first_ping` + 1 on, where no earlier process of this node is likely
-  // to have been: a late answer to that process must not be taken for an answer to this one.
+  // Pings are numbered from `first_ping` + 1. The range must differ from that of earlier processes
+  // of this node, whose late answers could otherwise be mistaken for answers to this one.
   HeartbeatExchange(uint64_t first_ping, Collaborators with)
       : last_ping_(first_ping), with_(with) {}
 
-  // Sends the pings that are due; called at every tick.
+  // Sends pings if they are due. Call at every tick.
   void Tick(Micros now);
-  // The next tick sends pings: there is news that users are told of as well.
+  // Makes the next tick send pings, to pass on a cancellation before its user learns of it.
   void SendSoon(Micros now) { next_pings_ = now; }
 
-  // A ping of the peer `from` came, which must be in the peer table: it is answered.
+  // Answers a ping from the peer `from`, which must be in the peer table.
   void OnPing(Micros now, const std::string& from, const mesh::HeartbeatRequest& ping);
-  // The answer of the peer `from` to a ping came.
+  // Handles a peer's answer to a ping.
   void OnPong(Micros now, const std::string& from, const mesh::HeartbeatReply& pong);
 
  private:
   std::vector<mesh::CachedImages> NextCachedImages(Micros now);
-  // `seen`: the receiver's replica holds all up to this revision.
+  // `seen`: revision up to which the receiver's replica is complete.
   mesh::Heartbeat MakeHeartbeat(Micros now, uint64_t seen) const;
   void OnHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
   void OnSilentMachines(Micros now, const std::string& from,
@@ -59,7 +59,7 @@
   uint64_t last_ping_;
   Micros next_pings_ = 0;
   Micros next_cached_images_ = 0;
-  MachineCursor cached_images_from_;  // of the next part
+  MachineCursor cached_images_from_;  // start of the next page
   const Collaborators with_;
 };
 
--- a/src/core/leadership/leader_election.cc
+++ b/src/core/leadership/leader_election.cc
@@ -10,11 +10,11 @@
 
 namespace {
 constexpr Micros kStateTimeout = 1500 * kMillisecond;
-constexpr Micros kElectionPause = 100 * kMillisecond;  // doubles with each conflict in a row
+constexpr Micros kElectionPause = 100 * kMillisecond;  // doubled for each consecutive conflict
 constexpr int kElectionDoublings = 4;
 constexpr int kConflictsBeforeList = 4;
-constexpr Micros kElectionTurn = 600 * kMillisecond;  // between two nodes of the ring
-constexpr Micros kStartPeriod = 5 * kSecond;          // all nodes start within it
+constexpr Micros kElectionTurn = 600 * kMillisecond;  // between consecutive nodes of the ring
+constexpr Micros kStartPeriod = 5 * kSecond;          // all nodes of a deployment start within it
 constexpr Micros kStartDelay = 3 * kSecond;
 constexpr Micros kPauseAfterLoss = 200 * kMillisecond;
 constexpr Micros kPauseAfterFailback = 3 * kSecond;
@@ -24,10 +24,10 @@
 std::string_view NameOf(LossReason reason) {
   switch (reason) {
     case LossReason::kLeaseEnded: return "lease ended";
-    case LossReason::kRivalReported: return "a peer reports another leader";
+    case LossReason::kRivalReported: return "a peer reports a newer leader";
     case LossReason::kRivalElected: return "another leader was elected";
-    case LossReason::kRecordExpired: return "leadership expired";
-    case LossReason::kFailback: return "handed back";
+    case LossReason::kRecordExpired: return "leadership record deleted";
+    case LossReason::kFailback: return "failback to the home node";
   }
   return "";
 }
@@ -84,7 +84,7 @@
   const ShardLeadership& leadership = Of(shard_id);
   const uint64_t version = with_.store->LeadershipVersion(shard_id);
   if (HeldByThisProcess(shard_id) && version > leadership.epoch) {
-    BecomeLeader(now, shard_id, version);  // the answer was lost
+    BecomeLeader(now, shard_id, version);  // the answer to an election was lost
   } else if (with_.store->NeedsTableMigration(shard_id) && !with_.store->CommitInFlight(shard_id) &&
              !leadership.releasing && now >= leadership.no_election_before) {
     SendElection(now, shard_id);
@@ -95,9 +95,9 @@
   if (with_.store->LeadershipRecord(shard_id).leader != config_.label) return;
   const uint64_t version = with_.store->LeadershipVersion(shard_id);
   if (!HeldByThisProcess(shard_id)) {
-    SendElection(now, shard_id);  // held by the process before this one
+    SendElection(now, shard_id);  // the record is of an earlier process of this node
   } else if (version > Of(shard_id).epoch) {
-    // An election whose answer was lost did apply.
+    // An election whose answer was lost was committed.
     BecomeLeader(now, shard_id, version);
   }
 }
@@ -106,7 +106,7 @@
   const int distance = (config_.own_shard - shard_id + shard_count()) % shard_count();
   if (distance == 0) return 0;
   const Micros turn = (distance - 1) * kElectionTurn;
-  // Everybody starts at once: leave each its own.
+  // When all nodes start together, each should win its own shard.
   return now - config_.started < kStartPeriod ? turn + kStartDelay : turn;
 }
 
@@ -124,8 +124,8 @@
       });
 }
 
-// The assignment table must be the one that we know. A table that changes its form does so
-// with the election: what was decided before then does not count any more.
+// Conditional on the assignment table that this node knows. A table's migration begins in the same
+// transaction, so that older decisions can no longer be committed.
 StateTxn LeaderElection::ElectionTxn(int shard_id) const {
   StateTxn txn;
   txn.conditions.push_back({LeadershipKey(shard_id), with_.store->LeadershipVersion(shard_id)});
@@ -149,13 +149,13 @@
     return;
   }
   if (answer.outcome == TransactionOutcome::kRefused)
-    with_.lease->Drop();  // no such lease: get another
+    with_.lease->Drop();  // no such lease: get a new one
   BackOff(now, shard_id, answer.outcome);
 }
 
-// After a conflict another node was faster, as the watch is about to tell. A node whose replica
-// lacked the leadership record once stood for election ten times a second without end, and took a
-// third of all writes with that.
+// A conflict means that another node was elected first, which the watch will show. After several
+// conflicts the replica probably lacks the leadership record: back off and read it again, so that
+// repeated elections do not use up the write budget.
 void LeaderElection::BackOff(Micros now, int shard_id, TransactionOutcome outcome) {
   ShardLeadership& leadership = At(shard_id);
   if (outcome != TransactionOutcome::kConflict) {
@@ -219,7 +219,7 @@
 void LeaderElection::OnRecordErased(Micros now, int shard_id, uint64_t revision) {
   ShardLeadership& leadership = At(shard_id);
   leadership.leaderless_since = now;
-  // An ended leadership names nobody.
+  // The record no longer names a leader.
   if (leadership.rival_epoch <= revision) leadership.rival_leader.clear();
   if (leadership.is_leader) Lose(now, shard_id, LossReason::kRecordExpired);
 }
@@ -275,8 +275,8 @@
   }
   const Micros term = now - leadership.elected_at;
   if (term < kLeastTerm) return false;
-  // Not while many of its machines are being missed: the new leader would have to find
-  // out about all of them again. But neither for ever.
+  // No failback while many machines are silent, as the new leader would have to detect their
+  // failures again; but do not delay it indefinitely.
   return !with_.store->ManyMachinesSilent(shard_id) || term >= 2 * config_.cancel;
 }
 
--- a/src/core/leadership/machine_status_source.h
+++ b/src/core/leadership/machine_status_source.h
@@ -1,4 +1,4 @@
-// What heartbeats tell peers of this node's replica and machines.
+// Source of the machine status that heartbeats carry to peers.
 #ifndef TROUTLINK_CORE_LEADERSHIP_MACHINE_STATUS_SOURCE_H_
 #define TROUTLINK_CORE_LEADERSHIP_MACHINE_STATUS_SOURCE_H_
 
@@ -12,28 +12,27 @@
 
 namespace troutlink {
 
-// The machine at which a part of a long list begins: shards in order, and in each its machines
-// by name.
+// Position in the list of all machines: by shard, then by name.
 struct MachineCursor {
   size_t shard_id = 0;
   std::string machine;
 };
 
-// A part of the cached images, and where the next part begins: at the front again after the last.
+// Part of the list of cached images. `next` wraps around after the last machine.
 struct CachedImagesPage {
   std::vector<mesh::CachedImages> images;
   MachineCursor next;
 };
 
-// Asked by HeartbeatExchange for every heartbeat.
+// Queried by HeartbeatExchange for every heartbeat.
 class MachineStatusSource {
  public:
   virtual ~MachineStatusSource() = default;
-  // The replica holds all changes up to this revision.
+  // Revision up to which the replica is complete.
   virtual uint64_t ReplicaRevision() const = 0;
-  // Machines of the shards that this node leads which have missed a report, at most `limit`.
+  // At most `limit` machines of the shards that this node leads which missed a heartbeat.
   virtual std::vector<mesh::SilentMachine> SilentMachines(Micros now, size_t limit) const = 0;
-  // Images of services on machines of those shards, from `from` on, of at most `limit` machines.
+  // Cached service images of at most `limit` machines of those shards, starting at `from`.
   virtual CachedImagesPage CachedImagesFrom(const MachineCursor& from, size_t limit) const = 0;
 };
 
--- a/src/core/leadership/peer_report_listener.h
+++ b/src/core/leadership/peer_report_listener.h
@@ -1,4 +1,4 @@
-// What heartbeats of peers report of jobs and machines.
+// Listener for jobs and machines reported in the heartbeats of peers.
 #ifndef TROUTLINK_CORE_LEADERSHIP_PEER_REPORT_LISTENER_H_
 #define TROUTLINK_CORE_LEADERSHIP_PEER_REPORT_LISTENER_H_
 
@@ -9,18 +9,18 @@
 
 namespace troutlink {
 
-// Told by HeartbeatExchange, in the order of the message.
+// Called by HeartbeatExchange in the order of the message.
 class PeerReportListener {
  public:
   virtual ~PeerReportListener() = default;
-  // The job is cancelled, perhaps before the replica has it.
+  // The job is cancelled, possibly before the replica shows it.
   virtual void OnCancellationReported(Micros now, const std::string& job) = 0;
-  // All images of services that the machine has cached.
+  // All service images that the machine has cached.
   virtual void OnCachedImagesReported(Micros now, const mesh::CachedImages& cached) = 0;
-  // The machine has been silent for so long to its leader. False when it is not a machine of a
-  // shard that another node leads, and the report does not count.
+  // The machine's leader has not heard from it for `silent`. Returns false, and ignores the report,
+  // if the machine is not in a shard that another node leads.
   virtual bool OnMachineSilent(Micros now, const std::string& machine, Micros silent) = 0;
-  // The machine's leader, which had reported it silent, hears it again.
+  // The machine's leader, which had reported it as silent, hears it again.
   virtual void OnMachineHeardAgain(const std::string& machine) = 0;
 };
 
--- a/src/core/leadership/peer_table.cc
+++ b/src/core/leadership/peer_table.cc
@@ -6,7 +6,7 @@
 namespace troutlink {
 
 namespace {
-// Ages that a peer may state; a larger one would overflow sums of times.
+// Limit for ages reported by peers, so that sums of times do not overflow.
 constexpr uint64_t kMaxStateAge = uint64_t{1} << 60;
 }  // namespace
 
--- a/src/core/leadership/permits.cc
+++ b/src/core/leadership/permits.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Errors bear their code alone: logs take the name from it.
+// Errors carry only their code, from which logs take the name.
 Error<Refusal> Refuse(Refusal refusal) { return {refusal, std::string(NameOf(refusal))}; }
 
 }  // namespace
@@ -60,8 +60,8 @@
     case KnownJobState::kDone: return Refuse(Refusal::kJobOver);
     case KnownJobState::kOpen: break;
   }
-  // The leadership may have passed on meanwhile, and cancellations been confirmed, without
-  // a message of either having been handled.
+  // Messages that arrived during the pause, such as the loss of the leadership or a cancellation,
+  // may not be handled yet.
   if (process_paused) return Refuse(Refusal::kProcessPaused);
   if (now >= cancellations_bound) return Refuse(Refusal::kCancellationsStale);
   return StartPermit();
--- a/src/core/leadership/permits.h
+++ b/src/core/leadership/permits.h
@@ -1,9 +1,8 @@
-// Decides whether an action on a worker's tasks, or an answer to a user, is allowed by what is
-// known. Pure functions: each takes the facts and returns a permit or the reason of a refusal.
+// Permits: decide from known facts whether an action on an agent's tasks, or an answer to a user,
+// is allowed. Pure functions that return a permit or the reason for refusal.
 //
-// Starts, renewals of leases and answers about open jobs are encoded by functions that take a
-// permit, so that no path can leave a check out. The argument that these checks keep the rules
-// is in docs/design.md.
+// Encoding a start, a lease renewal or an answer about an open job requires a permit, so that no
+// code path can skip the check. docs/design.md explains why these checks are sufficient.
 #ifndef TROUTLINK_CORE_LEADERSHIP_PERMITS_H_
 #define TROUTLINK_CORE_LEADERSHIP_PERMITS_H_
 
@@ -20,49 +19,50 @@
 
 namespace troutlink {
 
-// Why an action is refused. kRefusals counts them.
+// Reason for refusing an action. kRefusals is their number.
 enum class Refusal {
   kNotLeader,           // the node does not lead the shard
-  kNotAssigned,         // no assignment table in the replica holds the attempt
-  kJobUnknown,          // the replica does not hold the job
-  kJobBlocked,          // a job that it depends on is not done
+  kNotAssigned,         // no assignment table in the replica contains the attempt
+  kJobUnknown,          // the replica does not contain the job
+  kJobBlocked,          // a dependency is not done
   kJobOver,             // the job is cancelled or done
   kProcessPaused,       // the process was paused and has not ticked since
-  kCancellationsStale,  // a peer may have confirmed a cancellation that is not known here
+  kCancellationsStale,  // a peer may have confirmed a cancellation that is unknown here
   kReplicaStale,        // the replica may lack a cancellation that users know of
 };
 inline constexpr size_t kRefusals = 8;
 // As in logs and metrics.
 std::string_view NameOf(Refusal refusal);
 
-// The right to start one attempt now.
+// Permission to start one attempt now.
 class StartPermit {
  private:
   StartPermit() = default;
   friend struct StartFacts;
 };
 
-// What a start is judged by, at the moment at which its command is encoded.
+// Facts for a start, at the time at which its command is encoded.
 struct StartFacts {
   bool is_leader = false;
-  bool assigned = false;  // the shard's committed table holds the attempt on that machine
+  bool assigned = false;  // the shard's committed table assigns the attempt to the machine
   bool process_paused = false;
   KnownJobState job_state = KnownJobState::kUnknown;
   Micros now = 0;
-  Micros cancellations_bound = 0;  // until then no unknown cancellation can be overrun
+  Micros cancellations_bound =
+      0;  // until then every unknown cancellation can still be enforced in time
 
   Result<StartPermit, Refusal> Judge() const;
 };
 
-// The right to renew the lease of a worker, which goes on with all that it reported.
+// Permission to renew an agent's lease and so to keep all its reported tasks running.
 class RenewalPermit {
  private:
   RenewalPermit() = default;
   friend struct RenewalFacts;
 };
 
-// What a renewal is judged by. `allowance`: how much longer what is under way may take to be
-// fenced, for a node that renews on behalf of another.
+// Facts for a lease renewal. `allowance`: additional time until commands in flight are fenced, for
+// renewals on behalf of another node.
 struct RenewalFacts {
   Micros now = 0;
   Micros cancellations_bound = 0;
@@ -71,41 +71,42 @@
   Result<RenewalPermit, Refusal> Judge() const;
 };
 
-// The right to call a job queued or running.
+// Permission to report a job as queued or running.
 class OpenAnswerPermit {
  private:
   OpenAnswerPermit() = default;
   friend struct OpenAnswerFacts;
 };
 
-// What such an answer is judged by. The job's own record has just been compared with the state
-// service; the jobs that it depends on are known by the replica alone.
+// Facts for such an answer. The job's own record was just compared with the key-value store; its
+// dependencies are known from the replica only.
 struct OpenAnswerFacts {
   KnownJobState job_state = KnownJobState::kUnknown;
   bool has_dependencies = false;
   Micros replica_age = 0;
-  Micros most_age = 0;  // at which the replica holds what users were told `cancel_s` ago
+  Micros most_age =
+      0;  // maximum replica age at which no cancellation that users know of can be missing
 
   Result<OpenAnswerPermit, Refusal> Judge() const;
 };
 
-// What must never come up for decision. Where it does, the action is not carried out; the
-// process goes on. kViolations counts them.
+// Violated invariants. The action is not carried out, and the process continues. kViolations is
+// their number.
 enum class Violation {
   kStartWithoutLeadership,
   kStartUnassigned,
   kStartBlocked,
-  kRenewalWithoutStop,  // an answer that renews a lease lacked the stop of a task that is over
-  kEpochFell,           // an election at a revision that is not above the one before
+  kRenewalWithoutStop,  // a reply that renews a lease lacked the stop of a finished task
+  kEpochFell,           // an election at a revision that is not above the previous epoch
 };
 inline constexpr size_t kViolations = 5;
 // As in logs and metrics.
 std::string_view NameOf(Violation violation);
-// The violation that a refused start shows, if it does: what is decided in one commit under one
-// leadership is not led, assigned or unblocked any less a moment later.
+// The invariant that a refused start violates, if any: what one commit decided under one leadership
+// stays led, assigned and unblocked.
 std::optional<Violation> ViolationOf(Refusal refusal);
 
-// How often each of the values of an enumeration occurred.
+// Counter for each value of an enumeration.
 template <typename Kind, size_t Kinds>
 class Tally {
  public:
--- a/src/core/leadership/readiness.cc
+++ b/src/core/leadership/readiness.cc
@@ -9,8 +9,8 @@
 bool IsReady(Micros now, bool replica_synced, const NodeHealth& health, const PeerTable& peers) {
   if (!replica_synced) return false;
   if (health.StateFresh(now)) return true;
-  // A peer decides for us, or nobody has the state service and there is no better node to go to.
-  // Only a node that hears nobody steps aside.
+  // Without the key-value store a peer can still decide for this node; if no node reaches it, no
+  // other node is a better choice. Only an isolated node is not ready.
   return peers.AnyHeardWithin(now, kPeerReachableFor) || peers.peers().empty();
 }
 
--- a/src/core/leadership/readiness.h
+++ b/src/core/leadership/readiness.h
@@ -1,4 +1,4 @@
-// Whether this controller is ready to serve users, as its probe answers.
+// Readiness of this controller, for the load balancer's probe.
 #ifndef TROUTLINK_CORE_LEADERSHIP_READINESS_H_
 #define TROUTLINK_CORE_LEADERSHIP_READINESS_H_
 
@@ -8,8 +8,8 @@
 
 namespace troutlink {
 
-// `replica_synced`: whether the replica was read whole. The machine types follow within moments;
-// waiting for them would cost a whole round of the balancer's probes.
+// `replica_synced`: whether the replica was read completely. Machine types are not required: they
+// follow quickly, and waiting for them would delay readiness by a probe interval.
 bool IsReady(Micros now, bool replica_synced, const NodeHealth& health, const PeerTable& peers);
 
 }  // namespace troutlink
--- a/src/core/leadership/session_lease.h
+++ b/src/core/leadership/session_lease.h
@@ -1,4 +1,4 @@
-// The lease of this process at the state service, which its leadership records hang on.
+// State machine of this process's session lease at the key-value store.
 #ifndef TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_H_
 #define TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_H_
 
@@ -9,44 +9,44 @@
 
 namespace troutlink {
 
-// Decides when to ask for the lease and when to renew it. One call is in flight at a time;
-// SessionLeaseKeeper makes the calls and passes their answers. When the lease ends, the state
-// service deletes every leadership record that is attached to it, so the process leads no shard.
+// Decides when to request and when to renew the lease. One call is in flight at a time;
+// SessionLeaseKeeper makes the calls and reports their answers. When the lease expires, the store
+// deletes all leadership records attached to it, so the process leads no shard.
 class SessionLease {
  public:
-  // `life`: how long the lease lasts without a renewal.
+  // `life`: duration of the lease after a grant or renewal.
   explicit SessionLease(Micros life) : life_(life) {}
 
-  // How long the lease lasts without a renewal.
+  // Duration of the lease after a grant or renewal.
   Micros life() const { return life_; }
   uint64_t id() const { return id_; }  // 0: none is held
   bool held() const { return id_ != 0; }
 
-  // Whether a grant (none is held) or a renewal is to be sent now.
+  // Whether to send a grant (if none is held) or a renewal now.
   bool CallDue(Micros now) const { return !in_flight_ && now >= next_call_; }
-  // That call was sent.
+  // Records that the call was sent.
   void CallSent() { in_flight_ = true; }
 
-  // The grant was answered with this lease, or not at all.
+  // Handles the answer to a grant; nothing if there was none.
   void GrantAnswered(Micros now, std::optional<uint64_t> id);
 
-  // What the state service said to a renewal.
+  // Answer of the store to a renewal.
   enum class RenewalAnswer {
     kRenewed,
     kNoSuchLease,
-    kUnknown,  // no answer, or none that tells
+    kUnknown,  // no or an unclear answer
   };
-  // What follows from it.
+  // Result of a renewal.
   enum class Renewal {
-    kOutdated,  // of a lease that is no longer ours
+    kOutdated,  // of an earlier lease
     kRenewed,
-    kEnded,  // the state service has no such lease: every leadership is lost
+    kEnded,  // the lease no longer exists: every leadership is lost
     kFailed,
   };
-  // The renewal of lease `id` was answered.
+  // Handles the answer to the renewal of lease `id`.
   Renewal RenewAnswered(Micros now, uint64_t id, RenewalAnswer answer);
 
-  // A commit under the lease was refused as there is no such lease: ask for a new one.
+  // Drops a lease that the store does not know any more, so that a new one is requested.
   void Drop() { id_ = 0; }
 
  private:
--- a/src/core/leadership/session_lease_keeper.h
+++ b/src/core/leadership/session_lease_keeper.h
@@ -1,4 +1,4 @@
-// Grants and renewals of the session lease.
+// Requests and renews the session lease.
 #ifndef TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_KEEPER_H_
 #define TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_KEEPER_H_
 
@@ -12,24 +12,23 @@
 
 namespace troutlink {
 
-// Keeps this process in possession of a session lease: sends the calls that SessionLease finds
-// due and passes it their answers.
+// Sends the calls that SessionLease finds due and reports their answers to it.
 class SessionLeaseKeeper {
  public:
-  // `life`: how long the lease lasts without a renewal. The others must outlive this.
+  // `life`: duration of the lease after a grant or renewal. The pointers must outlive this object.
   SessionLeaseKeeper(Micros life, Effects* effects, NodeHealth* health,
                      SessionLeaseObserver* observer)
       : lease_(life), effects_(effects), health_(health), observer_(observer) {}
 
-  // Sends the grant or renewal that is due; called at every tick.
+  // Sends a due grant or renewal. Call at every tick.
   void Tick(Micros now);
 
-  // The lease's id at the state service; 0: none is held.
+  // Id of the lease at the key-value store; 0: none is held.
   uint64_t id() const { return lease_.id(); }
   bool held() const { return lease_.held(); }
-  // How long the lease lasts without a renewal.
+  // Duration of the lease after a grant or renewal.
   Micros life() const { return lease_.life(); }
-  // A transaction under the lease was refused as there is no such lease: a new one is asked for.
+  // Drops a lease that the store does not know any more, so that a new one is requested.
   void Drop() { lease_.Drop(); }
 
  private:
--- a/src/core/leadership/session_lease_observer.h
+++ b/src/core/leadership/session_lease_observer.h
@@ -1,4 +1,4 @@
-// Who has to know that the session lease ended.
+// Observer of the session lease.
 #ifndef TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_OBSERVER_H_
 #define TROUTLINK_CORE_LEADERSHIP_SESSION_LEASE_OBSERVER_H_
 
@@ -10,7 +10,7 @@
 class SessionLeaseObserver {
  public:
   virtual ~SessionLeaseObserver() = default;
-  // The state service has no such lease any more, and so no leadership record under it.
+  // The lease no longer exists at the key-value store, nor any leadership record under it.
   virtual void OnSessionLeaseEnded(Micros now) = 0;
 };
 
--- a/src/core/leadership/shard_leadership.h
+++ b/src/core/leadership/shard_leadership.h
@@ -1,4 +1,4 @@
-// Who leads one shard, as far as this node knows.
+// Leadership of one shard as known to this node.
 #ifndef TROUTLINK_CORE_LEADERSHIP_SHARD_LEADERSHIP_H_
 #define TROUTLINK_CORE_LEADERSHIP_SHARD_LEADERSHIP_H_
 
@@ -9,22 +9,22 @@
 
 namespace troutlink {
 
-// Written by LeaderElection alone; every module may read it. An epoch is the revision of the
-// state service at which a leadership record was committed: a later leader has a higher one.
+// Written by LeaderElection only; all modules may read it. An epoch is the revision at which a
+// leadership record was committed, so a later leader has a higher one.
 struct ShardLeadership {
   bool is_leader = false;
-  uint64_t epoch = 0;        // of this node; kept after a loss, to go on answering reports
-  uint64_t rival_epoch = 0;  // highest epoch of another node that we know of
+  uint64_t epoch = 0;        // of this node; kept after a loss, to continue answering heartbeats
+  uint64_t rival_epoch = 0;  // highest known epoch of another node
   std::string rival_leader;
-  std::string previous_leader;    // of the leadership records that we saw, other than ours
-  Micros leaderless_since = 0;    // 0: not known to be without a leader
-  Micros elected_at = 0;          // our last election
+  std::string previous_leader;    // from the last leadership record of another process
+  Micros leaderless_since = 0;    // 0: not known to be leaderless
+  Micros elected_at = 0;          // last election of this node
   Micros no_election_before = 0;  // backoff after a loss or a failed election
-  int election_conflicts = 0;     // in a row
-  bool acquiring = false;         // an election of ours is in flight
+  int election_conflicts = 0;     // consecutive
+  bool acquiring = false;         // an election by this node is in flight
   bool releasing = false;         // a failback is in flight
 
-  // Whether another node is known to have been elected after us.
+  // Whether another node is known to have been elected later.
   bool Superseded() const { return rival_epoch > epoch; }
 };
 
--- a/src/core/store/cancellations.cc
+++ b/src/core/store/cancellations.cc
@@ -13,10 +13,8 @@
   }
 }
 
-// Whatever we may confirm to a user, whoever committed it. Only what a node had committed
-// itself used to be reported: a cancel whose answer was lost, or that was carried out late,
-// reached users through another node's replica and never a peer without the state
-// service, and its tasks lived on.
+// Reports all cancellations in the replica, whichever node committed them: any of them may have
+// been confirmed to a user, also if its commit was answered late or not at all.
 void CancellationLog::FillHeartbeat(uint64_t seen, mesh::Heartbeat* heartbeat) const {
   for (auto it = committed_.lower_bound({seen + 1, ""}); it != committed_.end(); ++it) {
     heartbeat->cancels.push_back(it->second);
@@ -38,9 +36,9 @@
   Peer& peer = peers_[label];
   auto sent = peer.pings.find(pong.seq);
   if (sent == peer.pings.end()) return;
-  // It answers for all that its sender, also the process before, can have confirmed until
-  // then: nothing is confirmed that is not stored, and it has read the store and left nothing
-  // out that our replica lacks.
+  // A pong covers all cancellations that the peer, or an earlier process of it, can have confirmed
+  // by then: it confirms only stored ones, has read the store, and has omitted none that this
+  // replica lacks.
   if (pong.seen != 0 && pong.cancels_from <= sent->second.seen) {
     peer.known_at = std::max(peer.known_at, sent->second.at);
   }
@@ -60,8 +58,7 @@
 }
 
 Micros CancellationLog::RenewalBound(Micros now) const {
-  // A steady clock begins near 0 with its machine: never having known anything must not
-  // look like having known all a moment ago.
+  // The steady clock may start near 0: without this check, an empty replica would look up to date.
   if (!ReplicaWasComplete()) return 0;
   return KnownUpTo(now) + ShortestOnOtherClock(cancel_) - LongestOnOtherClock(lease_) -
          kRenewMargin;
--- a/src/core/store/cluster_version.cc
+++ b/src/core/store/cluster_version.cc
@@ -1,4 +1,3 @@
-// The version of the cluster, and its records.
 #include "core/store/cluster_version.h"
 
 #include <algorithm>
--- a/src/core/store/cluster_version.h
+++ b/src/core/store/cluster_version.h
@@ -1,5 +1,5 @@
-// The version of the cluster: which stored forms all nodes can read, and which limits of the
-// state service hold.
+// The cluster version: the storage forms that all nodes can read, and the limits of the key-value
+// store in force.
 #ifndef TROUTLINK_CORE_STORE_CLUSTER_VERSION_H_
 #define TROUTLINK_CORE_STORE_CLUSTER_VERSION_H_
 
@@ -12,33 +12,31 @@
 
 namespace troutlink {
 
-// Each node stores its version once, so that the others learn it even if it is away by then. A
-// node of another version that runs under this label later would be a return to an earlier
-// release, which is not supported (docs/operating.md).
+// Each node stores its version once, so that others know it even while it is down. Starting an
+// earlier release under the same label later is not supported (docs/operating.md).
 //
-// Makes no calls: ReplicaSync publishes the own version and applies what is read.
+// Makes no calls: ReplicaSync publishes this node's version and applies the records read.
 class ClusterVersion {
  public:
-  // `settings` must outlive this.
+  // `settings` must outlive this object.
   explicit ClusterVersion(const Settings& settings) : settings_(settings) {}
 
-  // Whether the own version is to be stored now, as far as this class knows: it is not yet, and
-  // no such call is in flight or has just been answered.
+  // Whether to store this node's version now: it is not stored, no attempt is in flight, and none
+  // was just answered.
   bool PublishDue(Micros now) const;
-  // The transaction that stores it; PublishAnswered must follow, whatever its outcome.
+  // Returns the transaction that stores it. PublishAnswered must follow, whatever its outcome.
   StateTxn BeginPublish();
   void PublishAnswered(Micros now);
 
-  // Applies the version that the node `label` stored at that revision. True when it is the last
-  // one that was missing: all nodes have our version from now on.
+  // Applies the version that the node `label` stored. Returns true if it was the last one missing:
+  // all nodes have the current version from now on.
   bool Apply(const std::string& label, const std::string& value, uint64_t revision);
 
-  // Whether every node has our version; once true for good.
+  // Whether every node has the current version; never reverts to false.
   bool all_current() const { return all_current_; }
   // As in the metrics.
   uint64_t number() const;
-  // The announced limits hold from the moment at which all nodes can keep to them, as they come
-  // without notice.
+  // Announced limits apply once all nodes support them, as they take effect without notice.
   const StateLimits& limits() const {
     return all_current_ ? settings_.next_state_limits : settings_.state_limits;
   }
--- a/src/core/store/commit_answer.h
+++ b/src/core/store/commit_answer.h
@@ -1,4 +1,4 @@
-// The answer of the state service to a transaction, decoded once.
+// Decoded answer of the key-value store to a transaction.
 #ifndef TROUTLINK_CORE_STORE_COMMIT_ANSWER_H_
 #define TROUTLINK_CORE_STORE_COMMIT_ANSWER_H_
 
@@ -8,18 +8,18 @@
 
 namespace troutlink {
 
-// What became of a transaction.
+// Outcome of a transaction.
 enum class TransactionOutcome {
   kCommitted,
-  kConflict,  // a condition did not hold: nothing was written
-  kRefused,   // malformed, beyond a limit, or under a lease that does not exist
-  kUnknown,   // no answer, or none that tells: it may be or become committed
+  kConflict,  // a condition failed: nothing was written
+  kRefused,   // malformed, beyond a limit, or under an unknown lease
+  kUnknown,   // no or an unclear answer: it may be committed, also later
 };
 
-// The outcome with the revision that the answer names.
+// The outcome and the revision in the answer.
 struct CommitAnswer {
   TransactionOutcome outcome = TransactionOutcome::kUnknown;
-  // Of an answer to a committed transaction or a conflict whose body could be read.
+  // Set for a committed transaction or a conflict with a readable body.
   std::optional<uint64_t> revision;
 };
 
--- a/src/core/store/dependencies.cc
+++ b/src/core/store/dependencies.cc
@@ -92,7 +92,7 @@
   for (const std::string& name : node.dependents) {
     const Node& dependent = nodes_.at(name);
     Urgency asked = MostUrgent(dependent.own, dependent.inherited);
-    // It has to be done by then, and so to start so much earlier.
+    // The dependency must be done by then and therefore start earlier by its run time.
     if (asked.latest_start != Urgency::kNoLimit) asked.latest_start -= node.time;
     inherited = MostUrgent(inherited, asked);
   }
--- a/src/core/store/dependencies.h
+++ b/src/core/store/dependencies.h
@@ -1,4 +1,4 @@
-// Which open jobs depend on which others, and how urgent that makes them.
+// Dependency graph of open jobs, and the urgency that jobs inherit from their dependents.
 #ifndef TROUTLINK_CORE_STORE_DEPENDENCIES_H_
 #define TROUTLINK_CORE_STORE_DEPENDENCIES_H_
 
@@ -13,7 +13,7 @@
 
 namespace troutlink {
 
-// How soon a job has to start. Of several, the most urgent of each field counts.
+// Urgency of a job. Urgencies combine field by field, to the more urgent value.
 struct Urgency {
   static constexpr Micros kNoLimit = std::numeric_limits<Micros>::max();
 
@@ -22,28 +22,28 @@
   bool operator==(const Urgency&) const = default;
 };
 
-// The graph of dependencies between jobs that are open. A job is as urgent as the most urgent
-// job that depends on it, directly or through others: it inherits their priority, and a latest
-// start that leaves the stages between the time that they are estimated to take.
+// Directed acyclic graph of open jobs. A job inherits the priority of its most urgent direct or
+// indirect dependent, and a latest start that leaves time for the estimated run times of the stages
+// between them.
 //
-// Bounded by the dependencies of open jobs. Pure: JobTable adds jobs as the replica learns of them
-// and removes them once they are over.
+// Its size is bounded by the dependencies of open jobs. Makes no calls: JobTable adds jobs as the
+// replica receives them and removes finished ones.
 class DependencyGraph {
  public:
-  // An open job with dependencies, which may be jobs that are not in the graph. `own`: without
-  // its dependents; `time`: from its start to its end. Repeating it changes nothing.
+  // Adds an open job with dependencies, which need not be in the graph. `own`: its urgency without
+  // dependents. `time`: from its start to its end. Idempotent.
   void Add(const std::string& job, const std::vector<std::string>& dependencies, const Urgency& own,
            Micros time);
-  // What a job without dependencies is by itself, once another one depends on it.
+  // Sets the urgency of a job that has dependents but no dependencies of its own.
   void SetOwn(const std::string& job, const Urgency& own, Micros time);
-  // The job is over: it makes no other one urgent any more.
+  // Removes a finished job, which no longer makes others urgent.
   void Remove(const std::string& job);
 
-  // Open jobs that name the job as a dependency.
+  // Open jobs that directly depend on the job.
   std::vector<std::string> DependentsOf(const std::string& job) const;
-  // The same directly or through other open jobs, each once.
+  // Open jobs that directly or indirectly depend on the job, each once.
   std::vector<std::string> AllDependentsOf(const std::string& job) const;
-  // What the job's dependents ask of it; the least urgent of all without any.
+  // Combined urgency of the job's dependents; the lowest without any.
   Urgency InheritedBy(const std::string& job) const;
   // Jobs whose inherited urgency changed since the last call.
   std::set<std::string> TakeChanged();
@@ -59,7 +59,7 @@
     std::set<std::string> dependents;
   };
 
-  // Brings what the dependencies of the job inherit up to date, and so on through the graph.
+  // Updates the inherited urgency of the job's direct and indirect dependencies.
   void Propagate(const std::string& job);
   Urgency InheritedFromDependents(const Node& node) const;
   void DropIfUnused(const std::string& job);
--- a/src/core/store/job_entry.h
+++ b/src/core/store/job_entry.h
@@ -1,4 +1,4 @@
-// One job as a controller's replica holds it.
+// A job in the replica.
 #ifndef TROUTLINK_CORE_STORE_JOB_ENTRY_H_
 #define TROUTLINK_CORE_STORE_JOB_ENTRY_H_
 
@@ -10,17 +10,17 @@
 
 namespace troutlink {
 
-// A job's record with the revision that it was read at, and what follows from the jobs that it
-// depends on and those that depend on it. Kept by JobTable; a plain value for everybody else.
+// A job's record, its revision, and what follows from its dependencies and dependents. Maintained
+// by JobTable.
 struct JobEntry {
-  // The specification is dropped once the job is over. Its priority is the one that the job
-  // is served with: its own or that of a job that depends on it.
+  // The specification is dropped when the job finishes. Its priority is the effective one: the
+  // job's own or that of a dependent.
   JobRecord record;
-  uint64_t version = 0;  // revision of the state service
+  uint64_t version = 0;  // revision of the record
   Priority own_priority = Priority::kLow;
-  bool blocked = false;  // waits for a job that it depends on
+  bool blocked = false;  // a dependency is not done
   Micros ready_at = 0;   // time of day from which it may start, once it is not blocked
-  Micros inherited_latest_start = Urgency::kNoLimit;  // time of day, by its dependents
+  Micros inherited_latest_start = Urgency::kNoLimit;  // time of day, from its dependents
 };
 
 }  // namespace troutlink
--- a/src/core/store/job_observer.h
+++ b/src/core/store/job_observer.h
@@ -1,4 +1,4 @@
-// What changes of jobs in the replica mean for the rest of a controller.
+// Observer of job changes in the replica.
 #ifndef TROUTLINK_CORE_STORE_JOB_OBSERVER_H_
 #define TROUTLINK_CORE_STORE_JOB_OBSERVER_H_
 
@@ -10,20 +10,20 @@
 
 namespace troutlink {
 
-// Told by JobTable, synchronously, in the order in which the table changes. The table may be
-// read from within a call but not changed; an entry is valid for the call only.
+// Called synchronously by JobTable, in the order of the changes. Implementations may read the table
+// but not change it; entries are valid during the call only.
 class JobObserver {
  public:
-  // A record of an open job was read: the job is new, or its record changed.
+  // A record of an open job was read: the job is new or has changed.
   virtual void OnJobOpen(const std::string& id, const JobEntry& entry) = 0;
-  // A final record was read. The entry is as read: most of its specification goes afterwards.
+  // A final record was read. Most of the entry's specification is dropped after the call.
   virtual void OnJobFinished(Micros now, const std::string& id, const JobEntry& entry) = 0;
-  // All jobs that the job depends on are done now.
+  // All dependencies of the job are done.
   virtual void OnJobUnblocked(const std::string& id, const JobEntry& entry) = 0;
-  // The urgency that an open job inherits from its dependents was computed again.
+  // The urgency that an open job inherits was recomputed.
   virtual void OnUrgencyUpdated(const std::string& id, const JobEntry& entry) = 0;
-  // The job is cancelled because one that it depends on is; `count`: with its own dependents
-  // that were not known as cancelled before.
+  // The job is cancelled because a dependency is. `count`: the job and its dependents that were not
+  // known to be cancelled before.
   virtual void OnCascadeCancelled(const std::string& id, size_t count) = 0;
 
  protected:
--- a/src/core/store/job_table.cc
+++ b/src/core/store/job_table.cc
@@ -1,5 +1,4 @@
-// The replica of the job records: what a record changes for the job, for those that it depends on
-// and for those that depend on it.
+// Applies job records and their effects on dependencies and dependents.
 #include "core/store/job_table.h"
 
 #include <algorithm>
@@ -9,11 +8,11 @@
 namespace troutlink {
 
 namespace {
-// Between the end of a stage and the start of the next one's tasks: a report, a commit, a
-// command and the fetch of an image.
+// Time between the end of a stage and the start of the next one: heartbeat, commit, command and
+// image fetch.
 constexpr Micros kStageOverhead = 6 * kSecond;
 
-// How urgent the job is by itself.
+// Urgency of the job without its dependents.
 Urgency OwnUrgency(const JobEntry& entry) {
   const JobSpec& spec = entry.record.spec;
   Urgency urgency;
@@ -24,7 +23,7 @@
   return urgency;
 }
 
-// From the start of the job to that of jobs that depend on it.
+// Time from the start of the job to the start of its dependents.
 Micros StageTime(const JobSpec& spec) { return spec.estimate + kStageOverhead; }
 }  // namespace
 
@@ -85,12 +84,12 @@
 }
 
 void JobTable::DropSpec(JobEntry* entry) {
-  // Final states are kept for ever; what the job was is of no more use.
+  // Records of finished jobs are kept forever, therefore in a small form.
   JobSpec small;
   small.id = entry->record.spec.id;
   small.tasks = entry->record.spec.tasks;
   small.kind = entry->record.spec.kind;
-  // Its tasks may still be on machines: they count for room and limits.
+  // Tasks that are still on machines count for resources and quotas.
   small.team = entry->record.spec.team;
   small.task_resources = entry->record.spec.task_resources;
   small.save = entry->record.spec.save;
@@ -108,8 +107,7 @@
   for (const std::string& dependent : dependencies_.DependentsOf(id)) Cancel(dependent);
 }
 
-// The job and all that depend on it are cancelled with a job that they depend on; their
-// records are not yet.
+// Marks the job and all its dependents as cancelled; their records follow.
 void JobTable::Cancel(const std::string& id) {
   if (!cascade_cancelled_.insert(id).second) return;
   size_t count = 1;
@@ -125,11 +123,11 @@
   JobEntry& entry = found->second;
   const bool was_blocked = entry.blocked;
   entry.blocked = false;
-  // Where nobody stored when a dependency was done (version 1 did not), the job counts as
-  // waiting for a start since its submission.
+  // Version 1 does not store when a dependency finished: the job then counts as ready since its
+  // submission.
   entry.ready_at = entry.record.submitted;
   for (const std::string& name : entry.record.spec.dependencies) {
-    // One that the replica does not hold yet is not done.
+    // A dependency that the replica lacks is not done.
     if (StateOf(name) != KnownJobState::kDone) {
       entry.blocked = true;
       return;
@@ -139,8 +137,7 @@
   if (was_blocked) observer_->OnJobUnblocked(id, entry);
 }
 
-// The replica's copy of a job has the priority that it is served with; its record keeps the
-// user's.
+// The entry has the effective priority; the stored record keeps the user's.
 void JobTable::UpdateInheritedUrgency(const std::string& id) {
   auto found = jobs_.find(id);
   if (found == jobs_.end() || found->second.record.state != JobState::kOpen) return;
@@ -167,7 +164,7 @@
   if (cancelled || cascade_cancelled_.count(id) != 0 || cancellations_->Reported(id)) {
     return KnownJobState::kCancelled;
   }
-  // Every attempt is of a job that was accepted: one that the replica lacks is yet to be read.
+  // Attempts belong to accepted jobs: a job that the replica lacks has yet to be read.
   if (entry == nullptr) return KnownJobState::kUnknown;
   return entry->blocked ? KnownJobState::kBlocked : KnownJobState::kOpen;
 }
--- a/src/core/store/job_table.h
+++ b/src/core/store/job_table.h
@@ -1,4 +1,4 @@
-// The replica of the job records, and what is known of each job.
+// Replica of the job records, with the known state of each job.
 #ifndef TROUTLINK_CORE_STORE_JOB_TABLE_H_
 #define TROUTLINK_CORE_STORE_JOB_TABLE_H_
 
@@ -17,47 +17,46 @@
 
 namespace troutlink {
 
-// All jobs that the state service holds, with what open ones inherit through dependencies: a job
-// waits until all that it depends on are done, is as urgent as the most urgent job that depends
-// on it, and is cancelled with any job that it depends on. Records of jobs that are over are
-// kept for ever, without most of their specification. Makes no calls.
+// All jobs in the key-value store. A job waits until its dependencies are done, inherits the
+// urgency of its dependents, and is cancelled with any of its dependencies. Records of finished
+// jobs are kept forever, without most of their specification. Makes no calls.
 class JobTable {
  public:
-  // `cancellations`: what peers told before the replica had it. Both must outlive this.
+  // `cancellations`: those reported by peers before the replica has them. Both must outlive this
+  // object.
   JobTable(const CancellationLog* cancellations, JobObserver* observer)
       : cancellations_(cancellations), observer_(observer) {}
 
-  // Applies a job's record as stored at revision `version`.
+  // Applies a job record stored at revision `version`.
   RecordOutcome Apply(Micros now, const std::string& id, const std::string& value,
                       uint64_t version);
-  // A job is known to be cancelled although its record is not yet: cancels all jobs that depend
-  // on it.
+  // Cancels all dependents of a job that is known to be cancelled although its record is not.
   void CascadeCancellation(const std::string& id);
 
-  // Null: the replica does not hold the job. The entry is changed by later records.
+  // Null if the replica lacks the job. Later records change the entry.
   const JobEntry* Find(const std::string& id) const;
-  // The entry of a job that the table is known to hold, such as one of `open()`.
+  // The entry of a job that the table contains, such as one of `open()`.
   const JobEntry& At(const std::string& id) const { return jobs_.at(id); }
-  // What is known of the job, by its record, by peers and through its dependencies.
+  // State of the job according to its record, peers and its dependencies.
   KnownJobState StateOf(const std::string& id) const;
-  // Whether tasks of the job have to end: it is cancelled or done.
+  // Whether the job is cancelled or done, so that its tasks must end.
   bool IsOver(const std::string& id) const { return troutlink::IsOver(StateOf(id)); }
 
-  // Whether a job that this one depends on is known to be cancelled.
+  // Whether a dependency of the job is known to be cancelled.
   bool HasCancelledDependency(const JobSpec& spec) const;
 
-  // Every job, open or over.
+  // All jobs, open or finished.
   const std::unordered_map<std::string, JobEntry>& jobs() const { return jobs_; }
   // Jobs whose record is open.
   const std::set<std::string>& open() const { return open_jobs_; }
-  // Jobs whose record is open although one that they depend on is cancelled.
+  // Jobs whose record is open although a dependency is cancelled.
   const std::set<std::string>& cascade_cancelled() const { return cascade_cancelled_; }
-  // Open jobs that wait for another job.
+  // Number of open jobs that wait for a dependency.
   size_t CountBlocked() const;
 
-  // Whether any service spreads over zones, or did.
+  // Whether there ever was a service spread over zones.
   bool spread_seen() const { return spread_seen_; }
-  // Whether the image is of a service. Of very many images some count as of none.
+  // Whether the image belongs to a service. Only the first kMaxServiceImages images are known.
   bool IsServiceImage(const std::string& image) const { return service_images_.count(image) != 0; }
   // Whether the team ever had a service.
   bool HadService(const std::string& team) const { return service_teams_.count(team) != 0; }
@@ -68,13 +67,13 @@
   void ApplyFinished(Micros now, const std::string& id, JobEntry* entry);
   static void DropSpec(JobEntry* entry);
   void Cancel(const std::string& id);
-  // Sets whether the job waits for others, and since when it does not.
+  // Updates whether the job is blocked, and when it became ready.
   void CheckDependencies(const std::string& id);
   void UpdateInheritedUrgency(const std::string& id);
-  // The same for all jobs whose inherited urgency changed in the graph.
+  // Updates all jobs whose inherited urgency changed in the graph.
   void UpdateChangedUrgencies();
 
-  // Bounds the memory that images of services take.
+  // Bounds memory.
   static constexpr size_t kMaxServiceImages = 1000;
 
   const CancellationLog* const cancellations_;
--- a/src/core/store/known_job_state.h
+++ b/src/core/store/known_job_state.h
@@ -1,4 +1,4 @@
-// The state of a job as one controller knows it.
+// State of a job as known to one controller.
 #ifndef TROUTLINK_CORE_STORE_KNOWN_JOB_STATE_H_
 #define TROUTLINK_CORE_STORE_KNOWN_JOB_STATE_H_
 
@@ -6,21 +6,21 @@
 
 namespace troutlink {
 
-// What is known of a job: the one answer that every decision is made from.
+// The known state of a job, on which all decisions are based.
 enum class KnownJobState {
-  kUnknown,    // the replica does not hold it
-  kBlocked,    // depends on a job that is not known to be done
+  kUnknown,    // the replica lacks the job
+  kBlocked,    // a dependency is not known to be done
   kOpen,       // may start
-  kCancelled,  // by its record, by a peer's word, or with a job that it depends on
+  kCancelled,  // according to its record, a peer or a dependency
   kDone,
 };
 
-// Whether tasks of the job have to end.
+// Whether the job is finished, so that its tasks must end.
 constexpr bool IsOver(KnownJobState state) {
   return state == KnownJobState::kCancelled || state == KnownJobState::kDone;
 }
 
-// For logs and messages of tests.
+// For logs and test messages.
 constexpr std::string_view NameOf(KnownJobState state) {
   switch (state) {
     case KnownJobState::kUnknown: return "unknown";
--- a/src/core/store/machine_codec.cc
+++ b/src/core/store/machine_codec.cc
@@ -14,7 +14,7 @@
 constexpr uint64_t kDraining = 2;
 constexpr uint64_t kHelps = 4;
 
-// Texts that many machines share are written once, in front.
+// Strings shared by many machines are written once, at the front.
 class TextTable {
  public:
   uint64_t Index(const std::string& text) {
@@ -34,11 +34,11 @@
   std::vector<std::string> texts_;
 };
 
-// Job ids without the prefix that all of them have.
+// Job ids without their common prefix.
 std::string ShortId(std::string_view id) { return std::string(id.substr(kJobPrefix.size())); }
 std::string LongId(std::string_view short_id) { return std::string(kJobPrefix).append(short_id); }
 
-// Writes machines one after the other, in one of the forms.
+// Encodes machines in one of the forms.
 class Writer {
  public:
   explicit Writer(TableForm form) : compact_(form == TableForm::kCompact) {}
@@ -69,7 +69,7 @@
       AppendSizedText(&body_, name);
     }
   }
-  // The compact form writes the port, which is the same for most machines, apart.
+  // The compact form writes the port separately, as most machines have the same one.
   void PutAddress(const std::string& address) {
     if (!compact_) {
       AppendSizedText(&body_, address);
@@ -86,7 +86,7 @@
       AppendSizedText(&body_, ShortId(job));
     }
   }
-  // Grouped by job: id, number of them, task and attempt of each.
+  // Grouped by job: the id, the number of attempts, and task and number of each.
   void PutAttempts(const std::vector<Attempt>& attempts) {
     std::map<std::string_view, std::vector<const Attempt*>> by_job;
     for (const Attempt& attempt : attempts) by_job[attempt.job].push_back(&attempt);
@@ -100,7 +100,7 @@
       }
     }
   }
-  // As the length of what `text` shares with `previous`, and the rest.
+  // Front coding: length of the prefix shared with `previous`, then the rest.
   void PutDifference(std::string* previous, const std::string& text) {
     const auto end = std::mismatch(previous->begin(), previous->end(), text.begin(), text.end());
     const auto shared = static_cast<size_t>(end.first - previous->begin());
@@ -113,10 +113,10 @@
   TextTable table_;
   std::string body_;
   uint64_t count_ = 0;
-  std::string name_, host_;  // of the machine before
+  std::string name_, host_;  // of the previous machine
 };
 
-// Reads what Writer wrote.
+// Decodes the output of Writer.
 class Reader {
  public:
   Reader(TableForm form, std::string_view in) : compact_(form == TableForm::kCompact), in_(in) {}
@@ -204,7 +204,7 @@
   const bool compact_;
   std::string_view in_;
   std::vector<std::string> texts_;
-  std::string name_, host_;  // of the machine before
+  std::string name_, host_;  // of the previous machine
 };
 
 }  // namespace
--- a/src/core/store/machine_codec.h
+++ b/src/core/store/machine_codec.h
@@ -1,4 +1,4 @@
-// The machines of one chunk of an assignment table as one text of varints, in each form.
+// Encodes the machines of a chunk of an assignment table, in either form.
 #ifndef TROUTLINK_CORE_STORE_MACHINE_CODEC_H_
 #define TROUTLINK_CORE_STORE_MACHINE_CODEC_H_
 
@@ -13,11 +13,10 @@
 // Ordered by name.
 using MachineList = std::vector<const AssignedMachine*>;
 
-// In the original form each machine is written by itself; types and zones once for all. In the
-// compact form names and addresses are written as what differs from those of the machine before,
-// and jobs once for all too.
+// The original form writes types and zones once, in a table. The compact form also does so for
+// jobs, and front-codes names and addresses.
 std::string EncodeMachines(TableForm form, const MachineList& machines);
-// Adds the machines to the table; false when the text is damaged.
+// Adds the machines to the table. Returns false if the input is malformed.
 bool DecodeMachines(TableForm form, std::string_view in, AssignmentTable* assignments);
 
 }  // namespace troutlink
--- a/src/core/store/node_health.h
+++ b/src/core/store/node_health.h
@@ -1,4 +1,4 @@
-// Health of this node: whether the state service answers it, and whether its process was paused.
+// Health of this node: contact with the key-value store, and pauses of the process.
 #ifndef TROUTLINK_CORE_STORE_NODE_HEALTH_H_
 #define TROUTLINK_CORE_STORE_NODE_HEALTH_H_
 
@@ -8,35 +8,34 @@
 
 namespace troutlink {
 
-// Records the answers of the state service and the ticks of the process. All times are on the
-// steady clock, in microseconds. Whoever gets a valid answer of the state service notes it here;
-// every module may ask.
+// Records answers of the key-value store and ticks of the process. All times are in microseconds on
+// the steady clock. Every module that receives a valid answer reports it here.
 class NodeHealth {
  public:
-  // `started`: when this process started.
+  // `started`: start time of this process.
   explicit NodeHealth(Micros started) : started_(started) {}
 
-  // The state service gave a valid answer at `now`.
+  // Records a valid answer of the key-value store.
   void NoteStateAnswer(Micros now) { last_state_answer_ = now; }
-  // Whether the state service answered a moment ago, so that this node may decide on its own.
+  // Whether the store answered recently, so that this node may decide on its own.
   bool StateFresh(Micros now) const { return now - last_state_answer_ < kStateFreshFor; }
-  // Time since that answer, as heartbeats carry it. Without one it is longer than any peer's.
+  // Time since the last answer, for heartbeats. Without any, it exceeds that of every peer.
   Micros StateAge(Micros now) const {
     return last_state_answer_ == 0 ? now - started_ + kNeverAnsweredAge : now - last_state_answer_;
   }
 
-  // Whether this process was paused and has not ticked since. What had arrived for it meanwhile
+  // Whether the process was paused and has not ticked since. Input that arrived during the pause
   // may be handled before that tick.
   bool ProcessPaused(Micros now) const {
     return last_tick_ != 0 && now - last_tick_ > kPauseThreshold;
   }
-  // A tick begins: the node is unhealthy now if it was paused or lacks the state service.
+  // Begins a tick: the node is unhealthy if it was paused or lacks the store.
   void BeginTick(Micros now) {
     if (ProcessPaused(now) || !StateFresh(now)) unhealthy_at_ = now;
   }
-  // The tick at `now` has done what a pause or the state service's absence calls for.
+  // Ends the tick, which has handled any pause.
   void EndTick(Micros now) { last_tick_ = now; }
-  // The last tick that ended; 0: none did.
+  // End of the last tick; 0: none yet.
   Micros last_tick() const { return last_tick_; }
 
   // Whether the node has been healthy for longer than `span`.
@@ -52,8 +51,8 @@
   const Micros started_;
   Micros last_state_answer_ = 0;
   Micros last_tick_ = 0;
-  // The last time without the state service or after a pause. A node that froze twice had its
-  // shard back within half a second each time: four changes of leader for two.
+  // Last time without the store or after a pause. A node must be healthy for a while after that
+  // before a failback, so that leadership does not flap.
   Micros unhealthy_at_ = 0;
 };
 
--- a/src/core/store/record_outcome.h
+++ b/src/core/store/record_outcome.h
@@ -1,4 +1,4 @@
-// What became of a stored record that was read into the replica.
+// Outcome of applying a stored record to the replica.
 #ifndef TROUTLINK_CORE_STORE_RECORD_OUTCOME_H_
 #define TROUTLINK_CORE_STORE_RECORD_OUTCOME_H_
 
@@ -6,15 +6,15 @@
 
 namespace troutlink {
 
-// The outcome of applying one record. A list, a watch and the node's own commits bring the same
-// record in any order, so an ignored one is no error.
+// Lists, watches and this node's own commits deliver the same record in any order, so kIgnored is
+// not an error.
 enum class RecordOutcome {
   kApplied,
-  kIgnored,     // not newer than what the replica holds, or of no use to it
-  kUnreadable,  // cannot be decoded; the replica keeps what it had
+  kIgnored,     // not newer than the replica's, or not relevant
+  kUnreadable,  // cannot be decoded; the replica keeps the previous record
 };
 
-// For logs and messages of tests.
+// For logs and test messages.
 constexpr std::string_view NameOf(RecordOutcome outcome) {
   switch (outcome) {
     case RecordOutcome::kApplied: return "applied";
--- a/src/core/store/records.cc
+++ b/src/core/store/records.cc
@@ -76,14 +76,14 @@
 std::string EncodeJob(const JobRecord& job) {
   Json out = {{"part", job.shard_id}, {"state", static_cast<int>(job.state)}};
   if (job.state == JobState::kOpen) {
-    // The specification is kept in the form in which users send it.
+    // The specification is stored in the users' format.
     out["spec"] = wire::EncodeSpec(job.spec);
     out["submitted"] = job.submitted;
     out["moves"] = job.moves;
     return wire::Pack(out);
   }
-  // Final states are kept for ever, so they are kept small: what is needed to
-  // answer, and to count its tasks that may still be on machines.
+  // Records of finished jobs are kept forever, so they contain only what polls and the resources of
+  // remaining tasks need.
   if (job.finished != 0) out["finished"] = job.finished;
   const JobSpec& s = job.spec;
   out["end"] = Json::array({s.id, s.tasks, static_cast<int>(s.kind), s.team, s.task_resources.cpus,
@@ -141,8 +141,8 @@
 
 int ChunkOf(const std::string& machine, int chunks) {
   if (chunks <= 1) return 0;
-  // Linear hashing: one more chunk splits one of them and leaves the others as
-  // they are, so that growth never rewrites a whole assignment table.
+  // Linear hashing: adding a chunk splits one and leaves the others unchanged, so that growth never
+  // rewrites a whole table.
   auto n = static_cast<uint64_t>(chunks), level = std::bit_floor(n);
   uint64_t hash = StableHash(machine), chunk = hash & (2 * level - 1);
   return static_cast<int>(chunk < n ? chunk : hash & (level - 1));
@@ -233,7 +233,7 @@
   constexpr int kMostChunks = 1024;
   AssignmentTable compact = assignments;
   compact.form = TableForm::kCompact;
-  // The next power of two divides all chunks alike.
+  // Doubling splits all chunks evenly.
   for (compact.chunks = 1 + 4; compact.chunks < kMostChunks; compact.chunks += compact.chunks - 1) {
     int64_t largest = 0;
     for (int chunk = 1; chunk < compact.chunks; ++chunk) {
@@ -247,7 +247,7 @@
 std::string EncodeProgress(const Progress& progress) {
   Json out = Json::object();
   for (const auto& [job, done] : progress) {
-    // Runs of task numbers: a gap, a length, a gap, a length, ...
+    // Run-length encoding of task numbers: gap, length, gap, length, ...
     std::string runs;
     int at = 0;
     for (auto it = done.begin(); it != done.end();) {
--- a/src/core/store/replica.cc
+++ b/src/core/store/replica.cc
@@ -1,4 +1,4 @@
-// The replica: which part of it a record belongs to, and what is logged of records.
+// Dispatches records to the parts of the replica, and logs unreadable ones.
 #include "core/store/replica.h"
 
 #include <algorithm>
@@ -39,7 +39,7 @@
   switch (jobs_->Apply(now, id, value, version)) {
     case RecordOutcome::kIgnored: return;
     case RecordOutcome::kUnreadable:
-      effects_->Log(LogLine::Level::kError, "unreadable job record " + JobKey(id));
+      effects_->Log(LogLine::Level::kError, "cannot decode job record " + JobKey(id));
       return;
     case RecordOutcome::kApplied: break;
   }
@@ -58,7 +58,7 @@
   } else if (key.kind == Key::Kind::kAssignments) {
     if (table.ApplyChunk(now, key, value, version) == RecordOutcome::kUnreadable) {
       effects_->Log(LogLine::Level::kError,
-                    "unreadable assignment table of shard " + std::to_string(key.shard_id));
+                    "cannot decode assignment table of shard " + std::to_string(key.shard_id));
     }
   } else {
     table.ApplyProgress(key.chunk, value, version, jobs_->open());
@@ -71,9 +71,9 @@
   const StateLimits& limits = cluster_version_->limits();
   effects_->Log(LogLine::Level::kInfo,
                 "cluster version " + std::to_string(kStoredFormVersion) +
-                    "; limits of the state service: " + std::to_string(limits.value_bytes) +
-                    " bytes, " + std::to_string(limits.txn_ops) + " changes a transaction, " +
-                    std::to_string(static_cast<int>(limits.write_rps)) + " changes a second");
+                    "; limits of the key-value store: " + std::to_string(limits.value_bytes) +
+                    " bytes, " + std::to_string(limits.txn_ops) + " writes per transaction, " +
+                    std::to_string(static_cast<int>(limits.write_rps)) + " writes per second");
 }
 
 void Replica::ApplyErase(Micros now, const std::string& key, uint64_t version) {
@@ -84,11 +84,11 @@
     }
   } else if (parsed.kind == Key::Kind::kAssignments && parsed.form == TableForm::kOriginal &&
              HasShard(parsed.shard_id)) {
-    // Chunks are erased only once the compact form has all of their machines.
+    // Chunks of the original form are erased only after their machines have been migrated.
     TableOf(parsed.shard_id).EraseOriginalChunk(parsed.chunk);
   } else if (parsed.kind == Key::Kind::kJob) {
-    // Job records are never deleted by the service.
-    effects_->Log(LogLine::Level::kError, "job record deleted: " + key);
+    // The service never deletes job records.
+    effects_->Log(LogLine::Level::kError, "job record was deleted, which this service never does: " + key);
   }
 }
 
--- a/src/core/store/replica.h
+++ b/src/core/store/replica.h
@@ -1,4 +1,4 @@
-// The replica: a copy of the state service's content, record by record.
+// The replica: a local copy of the records in the key-value store.
 #ifndef TROUTLINK_CORE_STORE_REPLICA_H_
 #define TROUTLINK_CORE_STORE_REPLICA_H_
 
@@ -16,33 +16,32 @@
 
 namespace troutlink {
 
-// Dispatches records by their keys to the parts of the replica. A record comes by a list, a
-// watch, a read or a commit of this node, in any order; one that is not newer than the
-// replica's changes nothing. Sends nothing but lines of the log.
+// Dispatches records by key to the parts of the replica. Records arrive from lists, watches, reads
+// and this node's commits in any order; older ones are ignored. Makes no calls but writes log
+// lines.
 class Replica {
  public:
-  // All pointers must outlive this.
+  // The pointers must outlive this object.
   Replica(int shard_count, JobTable* jobs, ClusterVersion* cluster_version, Effects* effects,
           ReplicaObserver* observer);
 
-  // The record `key` has this value, written at revision `version`.
+  // Applies a record's value, written at revision `version`.
   void ApplyPut(Micros now, const std::string& key, const std::string& value, uint64_t version);
-  // The record was deleted at revision `version`.
+  // Applies the deletion of a record at revision `version`.
   void ApplyErase(Micros now, const std::string& key, uint64_t version);
-  // Follows a batch of the two above that may have changed assignment tables.
+  // Call after a batch of the above, which may have changed assignment tables.
   void FinishBatch(Micros now);
 
-  // Of a shard that exists. The reference stays valid.
+  // The shard must exist. The reference stays valid.
   const ShardRecords& records(int shard_id) const {
     return tables_[static_cast<size_t>(shard_id)].records();
   }
-  // The shard whose assignment table has the machine; -1: none has.
+  // The shard whose assignment table contains the machine; -1: none.
   int ShardOfMachine(const std::string& name) const { return directory_.ShardOf(name); }
-  // Whether some shard's leadership record is of a process of the node `label` other than that
-  // with `boot`.
+  // Whether another process of the node `label` than the one with `boot` holds a leadership record.
   bool HasLeadershipOfOtherProcess(const std::string& label, uint64_t boot) const;
-  // Calls `visit` with the keys and revisions of held records that a list would have if they
-  // still exist: of jobs, leaderships and chunks of original tables, in this order.
+  // Visits the records whose deletion only a list can show: jobs, leaderships and chunks of the
+  // original form, in this order.
   void VisitListed(
       const std::function<void(const std::string& key, uint64_t version)>& visit) const;
 
--- a/src/core/store/replica_feed.cc
+++ b/src/core/store/replica_feed.cc
@@ -17,9 +17,8 @@
   list_requested_ = false;
 }
 
-// What changes while the pages are read arrives by the watch, which
-// begins at the revision of the first page. That of an empty state service is 0: a watch from
-// 1 missed its very first change, and with it a shard's leadership.
+// The watch starts at the revision of the first page and so delivers changes made while later pages
+// are read. Revision 0, of an empty store, is valid too.
 void ReplicaFeed::ListPageRead(uint64_t revision) {
   if (!list_revision_) list_revision_ = revision;
 }
--- a/src/core/store/replica_feed.h
+++ b/src/core/store/replica_feed.h
@@ -1,4 +1,4 @@
-// How far the replica of the state service has been read, and what is read next.
+// State machine of the replica's lists and watches.
 #ifndef TROUTLINK_CORE_STORE_REPLICA_FEED_H_
 #define TROUTLINK_CORE_STORE_REPLICA_FEED_H_
 
@@ -9,14 +9,14 @@
 
 namespace troutlink {
 
-// The replica is fed by one list of everything, page by page, and then by one watch after the
-// other. ReplicaSync makes the calls, applies what they bring and tells this class; the class
-// decides when to list, when to watch and when to wait, and holds what is known then:
-// every change up to `revision()`, and every change made before `complete_up_to()`.
+// The replica is filled by one list of all records, page by page, and then kept up to date by
+// consecutive watches. ReplicaSync makes the calls, applies their results and reports them here;
+// this class decides when to list, watch or wait. The replica contains every change up to
+// `revision()`, and every change made before `complete_up_to()`.
 class ReplicaFeed {
  public:
   enum class Step { kWait, kList, kWatch };
-  // What to begin now.
+  // The step to take now.
   Step Due(Micros now) const;
 
   void ListStarted(Micros now);
@@ -27,22 +27,22 @@
 
   void WatchStarted() { watching_ = true; }
   void WatchFailed(Micros now);
-  // The state service no longer has the changes that the watch asked for.
+  // The store has compacted the changes that the watch requested.
   void WatchTooOld(Micros now);
   // The changes up to `revision` have been applied; the watch was sent at `sent`.
   void WatchAnswered(Micros now, Micros sent, uint64_t revision);
-  // The next watch waits a little.
+  // Delays the next watch briefly.
   void PauseWatch(Micros now);
 
-  // Whether the replica has been read whole and followed since.
+  // Whether the replica was read completely and has been followed since.
   bool synced() const { return synced_; }
   uint64_t revision() const { return revision_; }
   Micros complete_up_to() const { return complete_up_to_; }
-  // Of the list under way: the revision from which the watch will go on.
+  // Revision of the current list, from which the watch will continue.
   uint64_t list_revision() const { return list_revision_.value_or(0); }
 
-  // Something shows that the replica lacks a change: everything is read again once the watch
-  // under way is answered, and the replica serves meanwhile.
+  // Requests a new list after the current watch, as the replica seems to lack a change. The replica
+  // stays in use meanwhile.
   void RequestList() { list_requested_ = true; }
   bool list_requested() const { return list_requested_; }
 
@@ -50,7 +50,7 @@
   static constexpr Micros kListPause = 300 * kMillisecond;
   static constexpr Micros kWatchRetry = 200 * kMillisecond;
   static constexpr Micros kWatchPause = 40 * kMillisecond;
-  // Without a watch for so long, all changes in one answer may be more than fits in memory.
+  // After a longer gap, the changes in one watch answer might not fit into memory.
   static constexpr Micros kWatchGap = 6 * kSecond;
 
   bool synced_ = false;
@@ -60,7 +60,7 @@
   Micros list_sent_ = 0;
   std::optional<uint64_t> list_revision_;  // of the first page
   bool list_requested_ = false;
-  Micros followed_at_ = 0;  // last answer of a watch, or of a whole list
+  Micros followed_at_ = 0;  // last answer of a watch, or completion of a list
   uint64_t revision_ = 0;
   Micros complete_up_to_ = 0;
 };
--- a/src/core/store/replica_observer.h
+++ b/src/core/store/replica_observer.h
@@ -1,4 +1,4 @@
-// What changes of the replica mean for the rest of a controller.
+// Observer of replica changes.
 #ifndef TROUTLINK_CORE_STORE_REPLICA_OBSERVER_H_
 #define TROUTLINK_CORE_STORE_REPLICA_OBSERVER_H_
 
@@ -12,25 +12,25 @@
 
 namespace troutlink {
 
-// Told by Replica and ReplicaSync, synchronously. An implementation may send calls and messages,
-// but must not apply records to the replica from within a call.
+// Called synchronously by Replica and ReplicaSync. Implementations may send calls and messages but
+// must not apply records to the replica.
 class ReplicaObserver : public JobObserver, public TableObserver {
  public:
-  // How the replica caught up with the state service.
+  // How the replica caught up with the key-value store.
   enum class Source { kList, kWatch };
 
-  // A leadership record newer than the one before was read.
+  // A newer leadership record was read.
   virtual void OnLeadershipRecord(Micros now, int shard_id, const Leadership& leadership,
                                   uint64_t revision) = 0;
-  // The shard's leadership record was deleted at `revision`: nobody leads it.
+  // The leadership record was deleted at `revision`: nobody leads the shard.
   virtual void OnLeadershipErased(Micros now, int shard_id, uint64_t revision) = 0;
-  // The assignment table changed since the last batch of records; all of the batch is applied.
+  // The assignment table changed in the last batch, which is applied completely.
   virtual void OnTableChanged(Micros now, int shard_id) = 0;
-  // The list of machine types was read, as stored.
+  // The stored machine types were read.
   virtual void OnMachineTypes(const std::string& value) = 0;
-  // Every change that was committed before `complete_up_to` is in the replica.
+  // The replica contains every change committed before `complete_up_to`.
   virtual void OnCaughtUp(Source source, Micros complete_up_to) = 0;
-  // A write of this module's own was sent to the state service.
+  // This module sent a write to the key-value store.
   virtual void OnStateWriteSent() = 0;
 
  protected:
--- a/src/core/store/replica_sync.cc
+++ b/src/core/store/replica_sync.cc
@@ -1,4 +1,4 @@
-// Lists and watches of the state service, and the node's own version.
+// Lists and watches of the key-value store, and publication of this node's version.
 #include "core/store/replica_sync.h"
 
 #include <optional>
@@ -13,11 +13,11 @@
 
 namespace {
 constexpr Micros kWatchHold = 2 * kSecond;
-constexpr Micros kWatchSlack = 1500 * kMillisecond;  // for the way there and back
+constexpr Micros kWatchSlack = 1500 * kMillisecond;  // network latency of a watch
 constexpr Micros kListTimeout = 2 * kSecond;
 constexpr Micros kPublishTimeout = 1500 * kMillisecond;
 constexpr double kWatchReserve = 20;  // requests
-constexpr int kListLimit = 500;       // records a page
+constexpr int kListLimit = 500;       // records per page
 }  // namespace
 
 void ReplicaSync::Run(Micros now) {
@@ -108,8 +108,8 @@
   ApplyEvents(now, answer.changes.events);
   feed_.WatchAnswered(now, sent, answer.changes.revision);
   parts_.observer->OnCaughtUp(ReplicaObserver::Source::kWatch, feed_.complete_up_to());
-  // Each change ends a watch, and each node has one: when requests are short, a
-  // watch waits a little and its answer takes more changes.
+  // Each change ends a watch. If the request budget is low, delay the next watch, so that its
+  // answer batches more changes.
   if (feed_.list_requested()) {
     StartList(now);
   } else if (parts_.state_requests->Has(now, kWatchReserve)) {
@@ -134,9 +134,8 @@
   if (!feed_.synced() || !parts_.node_health->StateFresh(now) ||
       !parts_.cluster_version->PublishDue(now))
     return;
-  // A process of this node before this one may have had version 1, whose commits may still be
-  // carried out late under its leadership record: they do not write a table's header, which
-  // commits of version 2 rely on.
+  // An earlier process of this node may have had version 1, whose commits may still be applied late
+  // under its leadership record, without the table header that commits of version 2 rely on.
   if (parts_.replica->HasLeadershipOfOtherProcess(settings_.label, boot_)) return;
   const StateTxn txn = parts_.cluster_version->BeginPublish();
   parts_.state_writes->Force(now, 1);
--- a/src/core/store/replica_sync.h
+++ b/src/core/store/replica_sync.h
@@ -1,4 +1,4 @@
-// Keeps the replica up to date: the calls to the state service that read it.
+// Keeps the replica up to date with the key-value store.
 #ifndef TROUTLINK_CORE_STORE_REPLICA_SYNC_H_
 #define TROUTLINK_CORE_STORE_REPLICA_SYNC_H_
 
@@ -22,34 +22,33 @@
 
 namespace troutlink {
 
-// Lists everything once, page by page, then follows by one watch after the other, and lists anew
-// when a watch cannot go on. ReplicaFeed decides which of these is next. Also publishes the
-// node's own version.
+// Lists all records once, then follows by consecutive watches, and lists again if a watch cannot
+// continue; ReplicaFeed decides which is next. Also publishes this node's version.
 class ReplicaSync {
  public:
-  // What the class works on and with; all must outlive it.
+  // Must outlive this object.
   struct Parts {
     Replica* replica;
     const JobTable* jobs;  // of the replica, for the log
     ClusterVersion* cluster_version;
     Effects* effects;
-    NodeHealth* node_health;      // is told of every answer of the state service
-    TokenBucket* state_requests;  // that every request to the state service is charged to
+    NodeHealth* node_health;      // receives every answer of the store
+    TokenBucket* state_requests;  // charged for every request
     TokenBucket* state_writes;
     ReplicaObserver* observer;
   };
-  // `boot` differs at every start of the process.
+  // `boot` identifies this incarnation of the process.
   ReplicaSync(const Settings& settings, uint64_t boot, const Parts& parts)
       : settings_(settings), boot_(boot), parts_(parts) {}
 
-  // Begins a list or a watch if one is due. Several times a second.
+  // Starts a list or a watch if one is due. Call several times a second.
   void Run(Micros now);
-  // Stores the node's version if that is due.
+  // Stores this node's version if due.
   void PublishVersion(Micros now);
-  // Something shows that the replica lacks a change: everything is read again soon.
+  // Requests a new list, as the replica seems to lack a change.
   void RequestList() { feed_.RequestList(); }
 
-  // How far the replica has been read.
+  // Progress of the replica.
   const ReplicaFeed& feed() const { return feed_; }
 
  private:
@@ -60,10 +59,10 @@
 
   void StartList(Micros now);
   void ReadListPage(const std::string& after);
-  // `page`: nothing when the answer holds none.
+  // `page`: nothing if the call failed.
   void OnListPage(Micros now, std::optional<wire::StatePage> page);
   void FinishList(Micros now);
-  // What was deleted while no watch could tell.
+  // Erases records that were deleted without a watch showing it.
   void EraseUnlisted(Micros now);
   void StartWatch(Micros now);
   void OnWatchAnswered(Micros now, Micros sent, const WatchAnswer& answer);
@@ -74,7 +73,7 @@
   const uint64_t boot_;
   const Parts parts_;
   ReplicaFeed feed_;
-  std::map<std::string, ListItem> list_items_;  // of the list under way, by key
+  std::map<std::string, ListItem> list_items_;  // of the current list, by key
 };
 
 }  // namespace troutlink
--- a/src/core/store/shard_records.h
+++ b/src/core/store/shard_records.h
@@ -1,4 +1,4 @@
-// What the state service holds of one shard, as last read.
+// Records of one shard as last read.
 #ifndef TROUTLINK_CORE_STORE_SHARD_RECORDS_H_
 #define TROUTLINK_CORE_STORE_SHARD_RECORDS_H_
 
@@ -13,33 +13,32 @@
 
 namespace troutlink {
 
-// One chunk of an assignment table, without its content.
+// Metadata of one chunk of an assignment table.
 struct StoredChunk {
-  uint64_t version = 0;            // revision of the state service
-  std::vector<std::string> names;  // of its machines
+  uint64_t version = 0;            // revision of the chunk
+  std::vector<std::string> names;  // names of its machines
   size_t bytes = 0;
 };
 
-// The records of one shard. Written by TableReplica only; everybody else reads them.
+// Written by TableReplica only; all modules may read it.
 struct ShardRecords {
-  uint64_t leadership_version = 0;  // revision; 0: nobody holds it
+  uint64_t leadership_version = 0;  // revision of the record; 0: there is none
   Leadership leadership_record;
-  std::map<int, StoredChunk> chunks;  // of the table's form
-  // Of a table in the compact form: what is left of the original one, which does not change
-  // any more.
+  std::map<int, StoredChunk> chunks;  // in the current form of the table
+  // Chunks of the original form that remain beside the compact form and no longer change.
   std::map<int, StoredChunk> original_chunks;
   AssignmentTable assignments;
   std::map<int, uint64_t> progress_versions;   // by page
-  std::map<int, std::string> progress_values;  // as stored
-  Progress progress;                           // of open jobs, of all pages
+  std::map<int, std::string> progress_values;  // encoded, by page
+  Progress progress;                           // of open jobs, from all pages
   Micros changed_at = 0;                       // last change of the assignment table
 
-  // Revision of a page of progress; 0: it was never stored.
+  // Revision of a progress page; 0: never stored.
   uint64_t ProgressVersion(int page) const {
     auto found = progress_versions.find(page);
     return found == progress_versions.end() ? 0 : found->second;
   }
-  // Whether that page of progress is stored with exactly this value.
+  // Whether the page is stored with exactly this value.
   bool HoldsProgress(int page, const std::string& value) const {
     auto found = progress_values.find(page);
     return found != progress_values.end() && found->second == value;
--- a/src/core/store/state_answers.cc
+++ b/src/core/store/state_answers.cc
@@ -1,4 +1,3 @@
-// Answers of the state service to lists and watches.
 #include "core/store/state_answers.h"
 
 #include <utility>
@@ -7,7 +6,7 @@
 
 namespace {
 constexpr int kOk = 200;
-constexpr int kGone = 410;  // the revision that the watch began at is compacted
+constexpr int kGone = 410;  // the revision at which the watch starts was compacted
 }  // namespace
 
 WatchAnswer DecodeWatchAnswer(int status, const std::string& body) {
--- a/src/core/store/state_answers.h
+++ b/src/core/store/state_answers.h
@@ -1,4 +1,4 @@
-// Answers of the state service to lists and watches, decoded once.
+// Decoded answers of the key-value store to lists and watches.
 #ifndef TROUTLINK_CORE_STORE_STATE_ANSWERS_H_
 #define TROUTLINK_CORE_STORE_STATE_ANSWERS_H_
 
@@ -10,14 +10,14 @@
 
 namespace troutlink {
 
-// What became of a watch.
+// Outcome of a watch.
 enum class WatchOutcome {
-  kChanges,  // answered; there may be none
-  kTooOld,   // the state service no longer has the changes that were asked for: list anew
-  kFailed,   // no answer, a refusal, or one that cannot be read: watch again
+  kChanges,  // changes, possibly none
+  kTooOld,   // the store has compacted the requested changes: list again
+  kFailed,   // no answer, a refusal or an unreadable answer: watch again
 };
 
-// For logs and messages of tests.
+// For logs and test messages.
 constexpr std::string_view NameOf(WatchOutcome outcome) {
   switch (outcome) {
     case WatchOutcome::kChanges: return "changes";
@@ -34,7 +34,7 @@
 
 // `status`: the HTTP status, or kNoAnswer or kNotSent.
 WatchAnswer DecodeWatchAnswer(int status, const std::string& body);
-// One page of a list; nothing when the list failed.
+// One page of a list; nothing if the call failed.
 std::optional<wire::StatePage> DecodeStateListAnswer(int status, const std::string& body);
 
 }  // namespace troutlink
--- a/src/core/store/table_observer.h
+++ b/src/core/store/table_observer.h
@@ -1,4 +1,4 @@
-// What changes of assignment tables in the replica mean for the rest of a controller.
+// Observer of assignment table changes in the replica.
 #ifndef TROUTLINK_CORE_STORE_TABLE_OBSERVER_H_
 #define TROUTLINK_CORE_STORE_TABLE_OBSERVER_H_
 
@@ -9,12 +9,12 @@
 
 namespace troutlink {
 
-// Told by TableReplica, synchronously, for each machine of a chunk that was read.
+// Called synchronously by TableReplica for each machine of an applied chunk.
 class TableObserver {
  public:
-  // The machine is in the table of that shard, as given.
+  // The shard's table contains the machine, as given.
   virtual void OnMachineAssigned(Micros now, int shard_id, const AssignedMachine& machine) = 0;
-  // The machine left the table, and no other table is known to have it.
+  // The machine was removed and no other table is known to contain it.
   virtual void OnMachineUnassigned(Micros now, const std::string& machine) = 0;
 
  protected:
--- a/src/core/store/table_replica.cc
+++ b/src/core/store/table_replica.cc
@@ -1,5 +1,4 @@
-// The replica of one shard: chunks of its assignment table in either form, its leadership record
-// and its progress.
+// Applies chunks of an assignment table in either form, the leadership record and progress.
 #include "core/store/table_replica.h"
 
 #include <optional>
@@ -8,7 +7,7 @@
 namespace troutlink {
 
 namespace {
-// In place of the number of a chunk, for machines that only the original form of a table has.
+// Chunk number of machines that only the original form contains.
 constexpr int kOriginalChunk = -1;
 }  // namespace
 
@@ -27,8 +26,8 @@
   return true;
 }
 
-// Only the machines of this chunk are replaced. When the number of chunks
-// grows, the divided one and the new one arrive together, in either order.
+// Only the machines of this chunk are replaced. When a chunk is split, the two halves arrive
+// together, in either order.
 RecordOutcome TableReplica::ApplyChunk(Micros now, const Key& key, const std::string& value,
                                        uint64_t version) {
   if (key.form == TableForm::kCompact) {
@@ -76,14 +75,14 @@
   for (auto& [name, chunk] : chunk_of_) chunk = kOriginalChunk;
 }
 
-// A list that is read page by page may show a chunk as it was before the compact form began.
+// A paged list may deliver a chunk from before the migration.
 RecordOutcome TableReplica::ApplyOriginalChunk(Micros now, int index, const std::string& value,
                                                uint64_t version) {
   StoredChunk& chunk = records_.original_chunks[index];
   if (chunk.version >= version) return RecordOutcome::kIgnored;
   chunk.version = version;
   AssignmentTable next;
-  // The compact form is what counts by now: an unreadable chunk of the other one is no error.
+  // The compact form is authoritative: an unreadable chunk of the original form is no error.
   if (!DecodeChunk(value, index, &next)) return RecordOutcome::kIgnored;
   for (const std::string& name : chunk.names) {
     if (next.machines.count(name) != 0) continue;
@@ -131,7 +130,7 @@
   records_.assignments.machines[name] = std::move(machine);
 }
 
-// What was done once stays done: pages of any age add up, however they divide the jobs.
+// Progress only grows, so pages of any age can be merged.
 RecordOutcome TableReplica::ApplyProgress(int page, const std::string& value, uint64_t version,
                                           const std::set<std::string>& open_jobs) {
   if (records_.ProgressVersion(page) >= version) return RecordOutcome::kIgnored;
--- a/src/core/store/table_replica.h
+++ b/src/core/store/table_replica.h
@@ -1,4 +1,4 @@
-// The replica of one shard: its leadership record, assignment table and progress.
+// Replica of one shard: leadership record, assignment table and progress.
 #ifndef TROUTLINK_CORE_STORE_TABLE_REPLICA_H_
 #define TROUTLINK_CORE_STORE_TABLE_REPLICA_H_
 
@@ -16,45 +16,44 @@
 
 namespace troutlink {
 
-// Applies stored records of one shard in whatever order they are read: each has the revision at
-// which it was written, and one that is not newer than the held one changes nothing. Assignment
-// tables come in chunks, in the original or the compact form (docs/design.md); while a table
-// migrates, machines of chunks that the compact form does not have yet are read from the
-// original one. Makes no calls.
+// Applies records of one shard in any order; records that are not newer than the known revision are
+// ignored. Assignment tables are stored in chunks, in the original or the compact form
+// (docs/design.md). During a migration, machines of chunks that are not migrated yet are read from
+// the original form. Makes no calls.
 class TableReplica {
  public:
-  // `directory` is shared by the replicas of all shards; both must outlive this.
+  // `directory` is shared by all shards; both must outlive this object.
   TableReplica(int shard_id, MachineDirectory* directory, TableObserver* observer)
       : shard_id_(shard_id), directory_(directory), observer_(observer) {}
 
-  // Everything that is held, for reading. Stays where it is for the life of this object.
+  // The records. The reference stays valid for the life of this object.
   const ShardRecords& records() const { return records_; }
 
   RecordOutcome ApplyLeadership(const std::string& value, uint64_t version);
-  // False when the held record is newer than the deletion.
+  // Returns false if the known record is newer than the deletion.
   bool EraseLeadership(uint64_t version);
-  // One chunk of either form; `key` says which.
+  // Applies one chunk of either form, according to `key`.
   RecordOutcome ApplyChunk(Micros now, const Key& key, const std::string& value, uint64_t version);
-  // The state service no longer has that chunk of the original form.
+  // Forgets a chunk of the original form that was erased in the store.
   void EraseOriginalChunk(int chunk) { records_.original_chunks.erase(chunk); }
-  // A page of progress; only tasks of jobs in `open_jobs` are kept.
+  // Applies a page of progress; tasks of jobs outside `open_jobs` are dropped.
   RecordOutcome ApplyProgress(int page, const std::string& value, uint64_t version,
                               const std::set<std::string>& open_jobs);
-  // The job is over.
+  // Drops the progress of a finished job.
   void ForgetProgress(const std::string& job) { records_.progress.erase(job); }
 
   // Whether the assignment table changed since the last call.
   bool TakeChanged();
 
  private:
-  // The first value of the compact form of the table was read.
+  // Handles the first record of the table's compact form.
   void BeginCompactForm();
   RecordOutcome ApplyOriginalChunk(Micros now, int index, const std::string& value,
                                    uint64_t version);
   void ApplyHeader(Micros now, AssignmentTable header);
-  // Machines of the original form that the compact form has by now, or no longer has at all.
+  // Drops machines of the original form that have been migrated or removed.
   void DropMigratedMachines(Micros now);
-  // Removes the machine if the table has it from that chunk.
+  // Removes the machine if it belongs to that chunk.
   void RemoveMachineOfChunk(Micros now, const std::string& name, int chunk);
   void PutMachine(Micros now, int chunk, AssignedMachine machine);
 
