--- a/src/core/api/api_counters.h
+++ b/src/core/api/api_counters.h
@@ -1,4 +1,4 @@
-// How often users' requests took each way, since the start of the process.
+// Counters of the users' API since the start of the process.
 #ifndef TROUTLINK_CORE_API_API_COUNTERS_H_
 #define TROUTLINK_CORE_API_API_COUNTERS_H_
 
@@ -6,16 +6,17 @@
 
 namespace troutlink {
 
-// One for all classes of the module; shown as metrics.
+// Shared by all classes of the module and exported as metrics.
 struct ApiCounters {
   uint64_t submissions = 0;
   uint64_t accepted = 0;
-  uint64_t refused = 0;  // for the moment: neither malformed nor never to run
+  uint64_t refused = 0;  // temporarily: neither malformed nor infeasible
   uint64_t polls = 0;
   uint64_t cancels = 0;
   uint64_t forwards = 0;
-  uint64_t kept_from_forwarding = 0;  // which no peer of an older version may carry out
-  uint64_t record_writes = 0;         // job records in transactions
+  uint64_t kept_from_forwarding =
+      0;                       // because a peer of an older version might execute them wrongly
+  uint64_t record_writes = 0;  // job records written in transactions
 };
 
 }  // namespace troutlink
--- a/src/core/api/cancellation_channel.h
+++ b/src/core/api/cancellation_channel.h
@@ -1,4 +1,4 @@
-// How the users' API and the peers tell each other of cancelled jobs.
+// Exchange of cancellations between the users' API and the peers.
 #ifndef TROUTLINK_CORE_API_CANCELLATION_CHANNEL_H_
 #define TROUTLINK_CORE_API_CANCELLATION_CHANNEL_H_
 
@@ -8,15 +8,14 @@
 
 namespace troutlink {
 
-// Whoever exchanges heartbeats with the peers implements it.
+// Implemented by the owner of the heartbeat exchange.
 class CancellationChannel {
  public:
   virtual ~CancellationChannel() = default;
 
-  // A peer says that the job is cancelled; the replica may not show it yet.
+  // A peer reports the job as cancelled; the replica may not show it yet.
   virtual void LearnCancellation(Micros now, const std::string& job_id) = 0;
-  // A cancellation was committed: the next heartbeat, which carries it to the peers, goes out at
-  // the next tick.
+  // Requests a heartbeat at the next tick, to pass a committed cancellation to the peers.
   virtual void HastenHeartbeat(Micros now) = 0;
 };
 
--- a/src/core/api/cluster_status.h
+++ b/src/core/api/cluster_status.h
@@ -1,4 +1,4 @@
-// What the users' API needs to know of the controller and of its connections.
+// State of the controller and its connections, as the users' API needs it.
 #ifndef TROUTLINK_CORE_API_CLUSTER_STATUS_H_
 #define TROUTLINK_CORE_API_CLUSTER_STATUS_H_
 
@@ -11,26 +11,26 @@
 
 namespace troutlink {
 
-// The controller implements it. Ages and times are on the clock of `now`.
+// Implemented by the controller. All times are on the steady clock.
 class ClusterStatus {
  public:
   virtual ~ClusterStatus() = default;
 
-  // Whether the replica has been read whole.
+  // Whether the replica was read completely.
   virtual bool ReplicaSynced() const = 0;
-  // How long ago a change may have been made that the replica lacks.
+  // Age of the oldest change that the replica may lack.
   virtual Micros ReplicaAge(Micros now) const = 0;
-  // Whether the state service answered lately.
+  // Whether the key-value store answered recently.
   virtual bool StateFresh(Micros now) const = 0;
-  // The state service answered a call at `now`.
+  // Records an answer of the key-value store.
   virtual void NoteStateAnswer(Micros now) = 0;
-  // What the state service accepts at present.
+  // Limits of the key-value store in force.
   virtual const StateLimits& Limits() const = 0;
-  // Whether every controller reads and writes the newest stored forms. Once true, for good.
+  // Whether all controllers support the newest storage forms; never reverts to false.
   virtual bool AllNodesCurrent() const = 0;
-  // The peer that heard from the state service last; empty: none did lately.
+  // The peer with the most recent answer of the key-value store, or empty.
   virtual std::string FreshPeer(Micros now) const = 0;
-  // Types of the machines that can be rented; empty: not known yet.
+  // Machine types that can be rented; empty: not known yet.
   virtual const std::vector<MachineType>& MachineTypes() const = 0;
   // Time of day.
   virtual Micros WallNow(Micros now) const = 0;
--- a/src/core/api/commit_outcome.h
+++ b/src/core/api/commit_outcome.h
@@ -1,4 +1,4 @@
-// What became of a transaction that was sent to the state service.
+// Outcome of a transaction sent to the key-value store.
 #ifndef TROUTLINK_CORE_API_COMMIT_OUTCOME_H_
 #define TROUTLINK_CORE_API_COMMIT_OUTCOME_H_
 
@@ -8,23 +8,23 @@
 
 namespace troutlink {
 
-// The answer of the state service, decoded once.
+// Decoded answer of the key-value store.
 struct CommitOutcome {
   enum class Kind {
     kCommitted,
-    kConflict,     // a condition did not hold: nothing was written
-    kRateLimited,  // refused for its rate: nothing was written
-    kUnknown,      // no answer, or none that tells: it may be committed or become so
+    kConflict,     // a condition failed: nothing was written
+    kRateLimited,  // rate limited: nothing was written
+    kUnknown,      // no or an unclear answer: it may be committed, also later
   };
 
   Kind kind = Kind::kUnknown;
-  // Whether the answer could be read. Always when committed; without it a conflict has no keys.
+  // Whether the body could be decoded; always if committed. Otherwise a conflict has no keys.
   bool readable = false;
-  uint64_t revision = 0;                 // of the transaction, when committed
-  std::vector<std::string> failed_keys;  // whose conditions did not hold, as far as it says
+  uint64_t revision = 0;                 // if committed
+  std::vector<std::string> failed_keys;  // keys whose conditions failed, if the answer names them
 };
 
-// Of the answer to a commit: its HTTP status, or that of a call without answer, and its body.
+// `status`: the HTTP status, or kNoAnswer or kNotSent.
 CommitOutcome DecodeCommitOutcome(int status, const std::string& body);
 
 }  // namespace troutlink
--- a/src/core/api/http_status.h
+++ b/src/core/api/http_status.h
@@ -1,4 +1,4 @@
-// The HTTP statuses that answers to users and calls of the state service have.
+// HTTP statuses of replies to users and of answers from the key-value store.
 #ifndef TROUTLINK_CORE_API_HTTP_STATUS_H_
 #define TROUTLINK_CORE_API_HTTP_STATUS_H_
 
@@ -16,7 +16,7 @@
 inline constexpr int kTooManyRequests = 429;
 inline constexpr int kServiceUnavailable = 503;
 
-// Whether the request may succeed later or at another controller: 429 and every 5xx.
+// Whether a retry, or another controller, may succeed: 429 and every 5xx.
 constexpr bool IsTemporary(uint64_t status) { return status >= kTooManyRequests; }
 
 }  // namespace troutlink::http_status
--- a/src/core/api/job_admission.cc
+++ b/src/core/api/job_admission.cc
@@ -35,15 +35,16 @@
 
 std::optional<AdmissionError> JobAdmission::Check(Micros now, const JobSpec& spec) const {
   const bool types_known = !status_->MachineTypes().empty();
-  // What can never run is told so at once, also in trouble: it needs the types alone.
+  // Infeasible jobs are refused even while the node is not ready: only the machine types are
+  // needed.
   if (types_known) {
     if (std::optional<AdmissionError> error = CheckFeasible(spec)) return error;
   }
   if (!status_->ReplicaSynced() || !types_known || !status_->StateFresh(now)) {
     return AdmissionError{AdmissionFault::kNotReady, "not ready"};
   }
-  // Acceptance comes before all other writes: it only stops when the node is
-  // deep in debt, and otherwise lets the service itself say that it is too much.
+  // Submissions take precedence over all other writes: they are refused only if the write budget is
+  // deep in debt. Otherwise the store itself applies its rate limit.
   if (write_budget_->have() < -status_->Limits().write_rps / 2) {
     return AdmissionError{AdmissionFault::kTooManySubmissions, "too many submissions"};
   }
--- a/src/core/api/job_admission.h
+++ b/src/core/api/job_admission.h
@@ -1,4 +1,4 @@
-// Whether a submitted job is accepted.
+// Admission of submitted jobs.
 #ifndef TROUTLINK_CORE_API_JOB_ADMISSION_H_
 #define TROUTLINK_CORE_API_JOB_ADMISSION_H_
 
@@ -14,42 +14,41 @@
 
 namespace troutlink {
 
-// Why a submission is refused. The first ones are final: the same submission never succeeds.
+// Reason for refusing a submission. Those before kNotReady are permanent.
 enum class AdmissionFault {
   kMalformed,
   kUnknownTeam,
-  kFitsNoMachine,      // no type of machine that it allows has room for one of its tasks
-  kAboveTeamLimit,     // more than its team may use at once
+  kFitsNoMachine,      // no allowed machine type has room for one of its tasks
+  kAboveTeamLimit,     // exceeds the team's quota
   kDependsOnService,   // services are never done
-  kDependencyUnknown,  // it depends on a job that was never accepted
-  kRecordTooLarge,     // for the state service
+  kDependencyUnknown,  // a dependency was never accepted
+  kRecordTooLarge,     // exceeds the key-value store's limit
   kNotReady,           // this controller has no current replica
   kTooManySubmissions,
-  kMixedVersions,  // some controller does not know dependencies yet
+  kMixedVersions,  // some controller does not support dependencies yet
   kStateServiceSilent,
-  kNotStored,  // its record was not, as far as is known
+  kNotStored,  // the write failed or its outcome is unknown
 };
-// Whether a repeat may succeed.
+// Whether a retry may succeed.
 bool IsTemporary(AdmissionFault fault);
 
 using AdmissionError = Error<AdmissionFault>;
 
-// Judges submissions by what this controller knows, without a word to the state service. The
-// texts of the errors are for the user.
+// Checks submissions against this controller's state, without calls. Error texts are for the user.
 class JobAdmission {
  public:
-  // All that it is given must outlive it.
+  // All arguments must outlive this object.
   JobAdmission(const Settings* settings, const TokenBucket* write_budget, const JobDirectory* jobs,
                const ClusterStatus* status)
       : settings_(settings), write_budget_(write_budget), jobs_(jobs), status_(status) {}
 
-  // Why the job is refused, whatever it depends on; nothing: it may be accepted.
+  // Reason for refusing the job regardless of its dependencies, if any.
   std::optional<AdmissionError> Check(Micros now, const JobSpec& spec) const;
-  // Why the job may not depend on the jobs that it names, all of which the replica holds.
+  // Reason for refusing the job's dependencies, if any. The replica must contain all of them.
   std::optional<AdmissionError> CheckDependencies(const JobSpec& spec) const;
 
  private:
-  // Why the job can never run; nothing: it can.
+  // Reason why the job can never run, if any.
   std::optional<AdmissionError> CheckFeasible(const JobSpec& spec) const;
   bool FitsSomeMachine(const JobSpec& spec) const;
 
--- a/src/core/api/job_directory.h
+++ b/src/core/api/job_directory.h
@@ -1,4 +1,4 @@
-// What the users' API needs of the jobs in the replica.
+// Access to the jobs in the replica, as the users' API needs it.
 #ifndef TROUTLINK_CORE_API_JOB_DIRECTORY_H_
 #define TROUTLINK_CORE_API_JOB_DIRECTORY_H_
 
@@ -11,27 +11,26 @@
 
 namespace troutlink {
 
-// How far an open job is, as the leader of its shard knows it or else as stored.
+// Progress of an open job, from its shard's leader or else as stored.
 struct TaskCounts {
   int64_t done = 0;
   int64_t running = 0;  // placed on a machine
 };
 
-// The owner of the replica implements it.
+// Implemented by the owner of the replica.
 class JobDirectory {
  public:
   virtual ~JobDirectory() = default;
 
-  // Null when the replica does not hold the job. Valid until the replica changes.
+  // Null if the replica lacks the job. Valid until the replica changes.
   virtual const JobEntry* FindJob(const std::string& id) const = 0;
-  // What is known of the job from all sources: the replica, peers and the jobs before it.
+  // State of the job from all sources: the replica, peers and its dependencies.
   virtual KnownJobState StateOf(const std::string& id) const = 0;
-  // Whether a job that this one depends on is known to be cancelled.
+  // Whether a dependency of the job is known to be cancelled.
   virtual bool HasCancelledDependency(const JobSpec& spec) const = 0;
-  // Of an open job.
+  // For an open job.
   virtual TaskCounts TaskCountsOf(const std::string& id, const JobRecord& record) const = 0;
-  // The state service holds this value, as of `version`. Does nothing when the replica has it as
-  // new.
+  // Applies a record read at `version`, unless the replica is as new.
   virtual void ApplyPut(Micros now, const std::string& key, const std::string& value,
                         uint64_t version) = 0;
 };
--- a/src/core/api/job_queries.cc
+++ b/src/core/api/job_queries.cc
@@ -18,11 +18,11 @@
 constexpr Micros kQueueTimeout = 1500 * kMillisecond;
 constexpr Micros kFailedCheckPause = 50 * kMillisecond;
 constexpr size_t kMaxQueued = 2000;
-constexpr double kCheckReserve = 8;  // requests that a check leaves to the rest
+constexpr double kCheckReserve = 8;  // requests left for other calls
 constexpr int kMaxCancelAttempts = 4;
 constexpr const char* kStateSilent = "state service does not answer";
 
-// Of a finished job.
+// For a finished job.
 JobPhase PhaseOf(JobState state) {
   return state == JobState::kDone ? JobPhase::kDone : JobPhase::kCancelled;
 }
@@ -36,7 +36,7 @@
 
 void JobQueries::Poll(Micros now, JobRequest request) {
   const JobEntry* entry = jobs_->FindJob(request.job_id);
-  // Final states never change, so a copy of one is as good as the original.
+  // Final states never change and need no check.
   if (entry != nullptr && entry->record.state != JobState::kOpen) {
     AnswerConfirmed(now, request);
     return;
@@ -50,14 +50,14 @@
 }
 
 void JobQueries::CheckQueued(Micros now) {
-  // Those that waited too long get their final answer.
+  // Requests that have waited too long get their final answer.
   while (!queue_.empty() && now - queue_.front().received_at > kQueueTimeout) {
     Refuse(queue_.front(), kStateSilent, kRetryAfter);
     queue_.pop_front();
   }
   if (checking_ || queue_.empty() || now < no_check_before_) return;
-  // Checks have what all other requests leave of the limit: in a storm of polls the
-  // state service once refused commits, watches and renewals of leases.
+  // Checks use only the request budget that other calls leave, so that many polls cannot starve
+  // commits, watches and lease renewals.
   if (!state_budget_->Has(now, kCheckReserve)) return;
   std::map<std::string, uint64_t> versions;
   std::vector<JobRequest> batch;
@@ -92,7 +92,7 @@
   for (const std::string& key : outcome.failed_keys) stale.insert(ParseKey(key).id);
   for (const std::string& id : stale) records_->Refresh(now, id);
   for (const JobRequest& request : batch) {
-    // A failed transaction proves nothing of the keys it does not name.
+    // A failed transaction proves nothing about keys that it does not name.
     if (outcome.kind == CommitOutcome::Kind::kConflict &&
         (stale.empty() || stale.count(request.job_id) != 0)) {
       queue_.push_back(request);
@@ -123,11 +123,11 @@
   }
   if (!judged) refusals_.Add(judged.error().code);
   if (!judged && judged.error().code == Refusal::kReplicaStale) {
-    // Its own record does not show that a job before it was cancelled.
+    // The job's own record does not show that a dependency was cancelled.
     Refuse(request, "not ready", kRetryAfter);
     return;
   }
-  // Its user cancels it, or it is cancelled with another job: told once it is stored.
+  // The user cancels it, or it is cancelled with a dependency: answer once that is stored.
   Cancel(now, request);
 }
 
@@ -161,11 +161,11 @@
   const JobEntry* entry = jobs_->FindJob(request.job_id);
   if (entry == nullptr) {
     request.job_was_unknown = true;
-    Poll(now, std::move(request));  // 404 only once the state service confirms it
+    Poll(now, std::move(request));  // answers 404 only after the store confirms it
     return;
   }
-  // Another copy of it may have been answered 404 before the job was submitted: this one
-  // would cancel a job that nobody wants cancelled any more.
+  // Another copy of this request may have been answered 404 before the job was submitted, so this
+  // copy must not cancel the new job.
   if (request.job_was_unknown && responder_->MayHaveCopy(request.request_id)) {
     Refuse(request, "submitted meanwhile", kRetryAfter);
     return;
@@ -191,7 +191,7 @@
                                   const CommitOutcome& outcome) {
   switch (outcome.kind) {
     case CommitOutcome::Kind::kCommitted:
-      // Peers must be able to hear of it before the user does.
+      // Peers must be able to learn of it before the user does.
       cancellations_->HastenHeartbeat(now);
       responder_->Answer(request.request_id, http_status::kOk,
                          wire::EncodeJobState(request.job_id, JobPhase::kCancelled));
--- a/src/core/api/job_queries.h
+++ b/src/core/api/job_queries.h
@@ -20,15 +20,15 @@
 
 namespace troutlink {
 
-// Nothing is told to a user that is not committed, and nothing is told that may be older than
-// what another controller told: answers about unfinished jobs are checked with the state service,
-// many in one transaction that only compares.
+// Answers contain only committed state that is not older than another controller's answer. Answers
+// about unfinished jobs are therefore checked against the key-value store, many in one transaction
+// that only has conditions.
 class JobQueries {
  public:
   using Refusals = Tally<Refusal, kRefusals>;
 
-  // `max_replica_age`: how old the replica may be for an answer that rests on the jobs before the
-  // one that is asked for. All that it is given must outlive it.
+  // `max_replica_age`: maximum age of the replica for answers that depend on the state of
+  // dependencies. All arguments must outlive this object.
   JobQueries(Micros max_replica_age, Effects* effects, TokenBucket* state_budget,
              JobDirectory* jobs, ClusterStatus* status, JobRecordStore* records,
              CancellationChannel* cancellations, Responder* responder)
@@ -41,28 +41,28 @@
         cancellations_(cancellations),
         responder_(responder) {}
 
-  // Answers about a finished job at once, and queues the rest for the next check.
+  // Answers for a finished job at once; queues other polls for the next check.
   void Poll(Micros now, JobRequest request);
   // Cancels the job, and answers once that is committed.
   void Cancel(Micros now, JobRequest request);
-  // Refuses what has waited too long, and checks what is queued if no check is under way and the
-  // node has requests to the state service to spare. After every input.
+  // Refuses requests that have waited too long, and starts a check of the queue if none is in
+  // flight and the request budget allows it. Call after every input.
   void CheckQueued(Micros now);
-  // Whether the replica has all cancellations that users were told of long ago.
+  // Whether the replica is recent enough to contain all cancellations that matter.
   bool KnowsCancellations(Micros now) const { return status_->ReplicaAge(now) < max_replica_age_; }
 
-  // Answers that were refused for what is known, by reason.
+  // Refused answers, by reason.
   const Refusals& refusals() const { return refusals_; }
 
  private:
   void OnChecked(Micros now, const std::vector<JobRequest>& batch, const CommitOutcome& outcome);
-  // The state service has confirmed the job's own record, or it is final.
+  // Call when the store has confirmed the job's record, or the record is final.
   void AnswerConfirmed(Micros now, const JobRequest& request);
   void AnswerFinished(const JobRequest& request, const JobEntry& entry);
   void AnswerOpen(const OpenAnswerPermit& permit, const JobRequest& request, const JobEntry& entry);
   void AnswerStatus(const JobRequest& request, const JobStatus& status);
   void OnCancelAnswered(Micros now, const JobRequest& request, const CommitOutcome& outcome);
-  // Answers that it cannot be done at the moment.
+  // Answers that the request cannot be served at the moment.
   void Refuse(const JobRequest& request, const char* why, int retry_after_s);
 
   const Micros max_replica_age_;
@@ -75,7 +75,7 @@
   Responder* const responder_;
   Refusals refusals_;
   std::deque<JobRequest> queue_;
-  bool checking_ = false;  // a check is under way
+  bool checking_ = false;  // a check is in flight
   Micros no_check_before_ = 0;
 };
 
--- a/src/core/api/job_record_store.cc
+++ b/src/core/api/job_record_store.cc
@@ -31,8 +31,8 @@
 }
 
 void JobRecordStore::Read(const std::string& job_id, ReadDone done) {
-  // One key is a list that begins just before it; ids differ in their digits,
-  // so the prefix may hold longer ones too.
+  // Reads one key as a list with that prefix and a limit of one. Longer ids have the prefix too,
+  // but come later in the list.
   effects_->Send(
       Dest::kState, "", "GET", wire::ListTarget(JobKey(job_id), "", 1), "", kCallTimeout,
       [this, done = std::move(done)](Micros answered, int status, const std::string& body) {
--- a/src/core/api/job_record_store.h
+++ b/src/core/api/job_record_store.h
@@ -1,4 +1,4 @@
-// Reads and writes single job records in the state service.
+// Reads and writes single job records in the key-value store.
 #ifndef TROUTLINK_CORE_API_JOB_RECORD_STORE_H_
 #define TROUTLINK_CORE_API_JOB_RECORD_STORE_H_
 
@@ -16,15 +16,14 @@
 
 namespace troutlink {
 
-// What it learns it applies to the replica before it tells the caller. All that it is given must
-// outlive it.
+// Applies results to the replica before calling back. All arguments must outlive this object.
 class JobRecordStore {
  public:
   using WriteDone = std::function<void(Micros now, const CommitOutcome& outcome)>;
-  // `read`: the state service answered; if there is such a job, the replica holds it now.
+  // `read`: the store answered, so the replica now contains the job if it exists.
   using ReadDone = std::function<void(Micros now, bool read)>;
 
-  // How long a call to the state service may take that a user waits for.
+  // Timeout of calls on behalf of a waiting user.
   static constexpr Micros kCallTimeout = 1500 * kMillisecond;
 
   JobRecordStore(Effects* effects, TokenBucket* write_budget, TokenBucket* state_budget,
@@ -36,14 +35,13 @@
         status_(status),
         counters_(counters) {}
 
-  // Writes the record if its version still is `expected_version` (0: there is none). Goes out
-  // whatever the write budget holds, which is charged for it.
+  // Writes the record if its version is still `expected_version` (0: it does not exist). Charged to
+  // the write budget but not limited by it.
   void Write(Micros now, const std::string& job_id, uint64_t expected_version, std::string value,
              WriteDone done);
-  // Reads the record, whatever the budget of requests holds.
+  // Reads the record, regardless of the request budget.
   void Read(const std::string& job_id, ReadDone done);
-  // Reads the record again because the replica's turned out to be old. Left out when the node has
-  // no request to the state service to spare.
+  // Reads the record again if the request budget allows it.
   void Refresh(Micros now, const std::string& job_id);
 
  private:
--- a/src/core/api/job_request.h
+++ b/src/core/api/job_request.h
@@ -9,8 +9,8 @@
 
 namespace troutlink {
 
-// Requests are idempotent: several controllers may carry out copies of one, and a repeat of a
-// submission is answered like a poll of the job.
+// Requests are idempotent: several controllers may execute copies of one, and a repeated submission
+// is answered like a poll.
 struct JobRequest {
   enum class Kind { kPoll, kSubmit, kCancel };
 
@@ -18,8 +18,8 @@
   uint64_t request_id = 0;
   std::string job_id;
   Micros received_at = 0;
-  int cancel_attempts = 0;       // commits of the cancellation that were tried
-  bool job_was_unknown = false;  // of a cancellation: the replica had no such job when it came
+  int cancel_attempts = 0;       // commits tried for a cancellation
+  bool job_was_unknown = false;  // for a cancellation: the replica lacked the job on arrival
 };
 
 }  // namespace troutlink
--- a/src/core/api/job_submissions.cc
+++ b/src/core/api/job_submissions.cc
@@ -25,10 +25,10 @@
   return {AdmissionFault::kDependencyUnknown, "never accepted: " + id};
 }
 
-// For the log: empty for a job that waits for no other.
+// For the log; empty for a job without dependencies.
 std::string ListOf(const std::vector<std::string>& dependencies) {
   std::string list;
-  for (const std::string& id : dependencies) list += (list.empty() ? ", waits for " : " ") + id;
+  for (const std::string& id : dependencies) list += (list.empty() ? ", depends on " : " ") + id;
   return list;
 }
 
@@ -89,8 +89,7 @@
   }
 }
 
-// A job that the replica lacks may have been accepted a moment ago, by another node: what the
-// state service says of it counts.
+// Another node may have just accepted a job that this replica lacks: the key-value store decides.
 void JobSubmissions::ReadDependency(const std::string& id, const JobRequest& request,
                                     JobSpec spec) {
   if (!IsJobId(id) || id == spec.id) {
@@ -113,7 +112,7 @@
   record.shard_id = selector_->Choose(spec);
   record.submitted = status_->WallNow(now);
   record.spec = std::move(spec);
-  // One that needs a cancelled job is accepted, and cancelled from the start.
+  // A job with a cancelled dependency is accepted, but is cancelled from the start.
   JobPhase phase = JobPhase::kQueued;
   if (jobs_->HasCancelledDependency(record.spec)) {
     record.state = JobState::kCancelled;
@@ -124,7 +123,7 @@
     Refuse(request, {AdmissionFault::kRecordTooLarge, "larger than the state service can hold"});
     return;
   }
-  // The next one of a burst sees this one wait there.
+  // So that the next job of a burst takes this one into account.
   if (record.spec.dependencies.empty()) {
     backlog_->Add(record.shard_id, record.spec, record.spec.tasks);
   }
@@ -147,7 +146,7 @@
                          wire::EncodeJobState(request.job_id, phase));
       break;
     case CommitOutcome::Kind::kConflict:
-      // Known already: by a repeat, a late copy or another node.
+      // The job exists already: a repeated or late copy, or a submission through another node.
       records_->Refresh(now, request.job_id);
       queries_->Poll(now, request);
       break;
--- a/src/core/api/job_submissions.h
+++ b/src/core/api/job_submissions.h
@@ -23,12 +23,11 @@
 
 namespace troutlink {
 
-// Accepts jobs: a job is accepted once its record is committed. A repeat of a submission is
-// answered like a poll of its job.
+// A job is accepted once its record is committed. A repeated submission is answered like a poll.
 class JobSubmissions {
  public:
-  // `max_record_bytes`: of a stored record, by any limit that is announced. All that it is given
-  // must outlive it.
+  // `max_record_bytes`: maximum size of a record, considering announced limits. All arguments must
+  // outlive this object.
   JobSubmissions(int64_t max_record_bytes, Effects* effects, const JobDirectory* jobs,
                  const ClusterStatus* status, const JobAdmission* admission, ShardBacklog* backlog,
                  ShardSelector* selector, JobRecordStore* records, JobQueries* queries,
@@ -45,16 +44,16 @@
         responder_(responder),
         counters_(counters) {}
 
-  // A user submits the job in the request's body.
+  // Handles the submission in the request's body.
   void Submit(Micros now, const Request& request);
 
  private:
-  // Stores the job once all jobs that it depends on are known, reading those that the replica
+  // Stores the job once all of its dependencies are known, after reading those that the replica
   // lacks.
   void ResolveDependencies(Micros now, const JobRequest& request, JobSpec spec);
   void ReadDependency(const std::string& id, const JobRequest& request, JobSpec spec);
   void Store(Micros now, const JobRequest& request, JobSpec spec);
-  // `accepted`: the line of the log.
+  // `accepted`: log line.
   void OnStored(Micros now, const JobRequest& request, JobPhase phase, const std::string& accepted,
                 const CommitOutcome& outcome);
   void Refuse(const JobRequest& request, const AdmissionError& error);
--- a/src/core/api/request_forwarder.cc
+++ b/src/core/api/request_forwarder.cc
@@ -11,11 +11,11 @@
 
 namespace {
 
-// The state service usually answers within some ten milliseconds.
+// Well above the usual latency of the key-value store.
 constexpr Micros kForwardAfter = 100 * kMillisecond;
 constexpr Micros kForwardTimeout = 2 * kSecond;
-constexpr Micros kRequestTimeout = 10 * kSecond;  // its connection is long gone
-constexpr size_t kMaxPeerRequests = 1000;         // that are being carried out
+constexpr Micros kRequestTimeout = 10 * kSecond;  // by then the user's connection has ended
+constexpr size_t kMaxPeerRequests = 1000;         // in progress
 
 bool IsCancel(const Request& request) {
   std::optional<wire::JobPath> path = wire::ParseJobPath(request.target);
@@ -37,8 +37,7 @@
   return open == open_.end() || open->second.forwarded_at != 0;
 }
 
-// A peer of version 1 would store a job without the dependencies that it does not know: its tasks
-// would start at once, and it would not be cancelled with the jobs before it.
+// A peer of version 1 would ignore the dependencies of a job and start it at once.
 bool RequestForwarder::MayForward(const Request& request) const {
   if (status_->AllNodesCurrent() || request.method != "POST" ||
       wire::ParseJobPath(request.target)) {
@@ -109,8 +108,8 @@
   if (open == open_.end()) return;
   open->second.forward_id = 0;
   if (!http_status::IsTemporary(reply.status)) {
-    // What we tell a user we act on as well, even if the peer ends before it
-    // tells us as one of its cancels.
+    // Apply a cancellation that a user is told of here too, as the peer may end before its
+    // heartbeat reports it.
     std::optional<JobStatus> status;
     if (reply.status == http_status::kOk) status = wire::DecodeJobStatus(reply.body);
     if (status && status->state == JobPhase::kCancelled) {
@@ -137,7 +136,7 @@
   if (open != open_.end()) {
     const bool peer_at_work = open->second.forward_id != 0;
     if (peer_at_work && status == http_status::kNotFound && IsCancel(open->second.request)) {
-      // The copy at a peer may still find the job that its user submits after a 404.
+      // The copy at the peer may still find a job that is submitted after this 404.
       status = http_status::kServiceUnavailable;
       body = wire::EncodeError("no such job so far");
       retry_after_s = kRetryAfter;
--- a/src/core/api/responder.h
+++ b/src/core/api/responder.h
@@ -1,4 +1,4 @@
-// Where answers to users' requests go.
+// Destination of answers to users' requests.
 #ifndef TROUTLINK_CORE_API_RESPONDER_H_
 #define TROUTLINK_CORE_API_RESPONDER_H_
 
@@ -7,15 +7,14 @@
 
 namespace troutlink {
 
-// Implemented by RequestForwarder, which knows where each request came from.
+// Implemented by RequestForwarder, which knows the origin of each request.
 class Responder {
  public:
   virtual ~Responder() = default;
 
-  // Answers the request with an HTTP status; `retry_after_s` is in seconds, 0 for none. A request
-  // is answered once: whoever calls this does not work on it any more.
+  // Sends the only answer to the request. `retry_after_s` in seconds; 0: none.
   virtual void Answer(uint64_t request_id, int status, std::string body, int retry_after_s = 0) = 0;
-  // Whether another controller may be at work on the same request, or it is answered already.
+  // Whether another controller may be executing a copy of the request, or it was answered already.
   virtual bool MayHaveCopy(uint64_t request_id) const = 0;
 };
 
--- a/src/core/api/retry_after.h
+++ b/src/core/api/retry_after.h
@@ -1,4 +1,4 @@
-// After how long a user whose request failed for the moment is asked to repeat it.
+// Retry-After values for requests that fail temporarily.
 #ifndef TROUTLINK_CORE_API_RETRY_AFTER_H_
 #define TROUTLINK_CORE_API_RETRY_AFTER_H_
 
@@ -9,11 +9,11 @@
 
 namespace troutlink {
 
-// Value of the Retry-After header of a refusal that has nothing to do with load, in seconds.
+// In seconds, for refusals that are not caused by load.
 inline constexpr int kRetryAfter = 1;
 
-// The same under load, in seconds: it depends on the job, so that the users do not all come back
-// at the same moment.
+// The same under load, with jitter derived from the job id, so that clients do not retry at the
+// same moment.
 inline int SpreadRetryAfter(const std::string& job_id) {
   constexpr uint64_t kSpread = 4;
   return kRetryAfter + static_cast<int>(StableHash(job_id) % kSpread);
--- a/src/core/api/shard_backlog.h
+++ b/src/core/api/shard_backlog.h
@@ -1,4 +1,4 @@
-// Work that waits in each shard.
+// Backlog of pending work by shard.
 #ifndef TROUTLINK_CORE_API_SHARD_BACKLOG_H_
 #define TROUTLINK_CORE_API_SHARD_BACKLOG_H_
 
@@ -12,19 +12,19 @@
 
 namespace troutlink {
 
-// Counts the cpus that waiting tasks need. The count is kept for some milliseconds, as it goes
-// over all open jobs; jobs that are accepted meanwhile are added to it.
+// Sums the milli-CPUs that pending tasks need. Cached for some milliseconds, as it visits all open
+// jobs; jobs accepted meanwhile are added.
 class ShardBacklog {
  public:
-  // `loads` must outlive it.
+  // `loads` must outlive this object.
   explicit ShardBacklog(const ShardLoads* loads) : loads_(loads) {}
 
-  // Cpus, in thousandths, that wait for work of at least each priority.
+  // Milli-CPUs pending for work of at least each priority.
   using CpusByPriority = std::array<int64_t, kPriorities>;
 
-  // Of each shard, by its id. Valid until the next call.
+  // By shard id. Valid until the next call.
   const std::vector<CpusByPriority>& Cpus();
-  // Counts a job that has just been accepted. After a first call of `Cpus`.
+  // Adds a job that was just accepted. Call Cpus() at least once before.
   void Add(int shard_id, const JobSpec& spec, int64_t tasks);
 
  private:
--- a/src/core/api/shard_loads.h
+++ b/src/core/api/shard_loads.h
@@ -1,4 +1,4 @@
-// What the choice of a shard needs to know of the shards, their machines and their jobs.
+// Load of the shards, their machines and their jobs, as the choice of a shard needs it.
 #ifndef TROUTLINK_CORE_API_SHARD_LOADS_H_
 #define TROUTLINK_CORE_API_SHARD_LOADS_H_
 
@@ -15,15 +15,15 @@
 
 namespace troutlink {
 
-// One machine of a shard and what the tasks on it use. Refers to the replica.
+// A machine and the resources that its tasks use. Refers to the replica.
 struct MachineLoad {
   const AssignedMachine& machine;
-  const MachineType* type;  // null: not known
+  const MachineType* type;  // null: unknown
   const Resources& used;
   const std::array<Resources, kPriorities>& used_by_priority;
   const std::set<std::string>& task_images;
 
-  // What work of that priority and above uses.
+  // Resources used by work of that priority and above.
   Resources UsedAtLeast(Priority priority) const {
     Resources sum;
     for (size_t i = static_cast<size_t>(priority); i < used_by_priority.size(); ++i) {
@@ -33,24 +33,24 @@
   }
 };
 
-// The owner of the replica and of what is known of machines implements it.
+// Implemented by the owner of the replica and of the machines' state.
 class ShardLoads {
  public:
   using MachineVisitor = std::function<void(const MachineLoad&)>;
-  // `tasks`: that have neither ended nor a machine.
+  // `tasks`: neither finished nor placed.
   using BacklogVisitor = std::function<void(int shard_id, const JobSpec& spec, int64_t tasks)>;
 
   virtual ~ShardLoads() = default;
 
   virtual int ShardCount() const = 0;
-  // The time of the last tick, from which ages are counted.
+  // Time of the last tick, the base for ages.
   virtual Micros LastTick() const = 0;
   virtual void VisitMachines(int shard_id, const MachineVisitor& visit) const = 0;
-  // Every open job that waits for no other, also those of which no task waits.
+  // Visits all open jobs that are not blocked, also those without pending tasks.
   virtual void VisitRunnableJobs(const BacklogVisitor& visit) const = 0;
-  // Whether the image is known to be on the machine, used by a task or not.
+  // Whether the machine is known to have the image.
   virtual bool CachesImage(const std::string& machine, const std::string& image) const = 0;
-  // Whether a controller that was heard from lately leads the shard.
+  // Whether the shard's leader was heard from recently.
   virtual bool HasLiveLeader(int shard_id) const = 0;
 };
 
--- a/src/core/api/shard_selector.cc
+++ b/src/core/api/shard_selector.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-// A score is in thousandths of cpus. Tasks that can start at once count for more than any room
-// for later, and a leader for more than both.
+// Scores are in milli-CPUs. Tasks that can start at once outweigh later capacity, and a live leader
+// outweighs both.
 constexpr double kPlaceableWeight = 1e8;
 constexpr double kReadyWeight = 1e7;
 constexpr double kReadySoonShare = 0.2;  // of a task that is ready
@@ -49,8 +49,8 @@
   if (spec.task_resources.Fits(type->size)) ++capacity->suitable_machines;
   capacity->total_cpus +=
       static_cast<double>(type->size.cpus - load.UsedAtLeast(Priority::kProduction).cpus);
-  // What it may push aside is room for critical work, and half of it for an array, which
-  // should rather go where nothing has to be stopped.
+  // Production work may use all preemptible capacity. An array counts half of it, as it should
+  // prefer a shard where nothing has to be preempted.
   const bool critical = spec.priority == Priority::kProduction;
   const bool preempts = critical || spec.kind == JobKind::kArray;
   Resources left = type->size - (preempts ? load.UsedAtLeast(spec.priority) : load.used);
@@ -104,7 +104,7 @@
   for (const ShardCapacity& capacity : capacities) {
     scores.push_back(ScoreOf(spec, capacity, mean_cpus));
   }
-  // Where shards are alike, jobs are spread over them by their ids.
+  // Ties are broken by a hash of the job id, which distributes jobs over equal shards.
   size_t best = StableHash(spec.id) % scores.size();
   for (size_t shard_id = 0; shard_id < scores.size(); ++shard_id) {
     if (scores[shard_id] > scores[best] + 1) best = shard_id;
@@ -115,21 +115,21 @@
 double ShardSelector::ScoreOf(const JobSpec& spec, const ShardCapacity& capacity,
                               double mean_cpus) {
   double score = capacity.available_cpus;
-  // Where all are full, by how long it takes: a small shard works a queue off slowly.
+  // If all shards have a backlog, compare how long it takes: a small shard drains its queue slowly.
   if (capacity.available_cpus < 0 && capacity.total_cpus > 0) {
     score *= mean_cpus / capacity.total_cpus;
   }
   if (spec.kind != JobKind::kArray) {
     score += kPlaceableWeight * capacity.placeable_tasks / spec.tasks;
   }
-  // A replica starts at once only where its image is.
+  // A replica starts without delay only where its image is cached.
   if (spec.kind == JobKind::kService) {
     score +=
         kReadyWeight *
         (capacity.ready_tasks + kReadySoonShare * std::min(capacity.ready_soon_tasks, spec.tasks)) /
         spec.tasks;
   }
-  // Nobody leads it at the moment: it would wait for a takeover.
+  // Without a leader the job would wait for a failover.
   if (!capacity.has_live_leader) score -= kNoLeaderPenalty;
   return score;
 }
--- a/src/core/api/shard_selector.h
+++ b/src/core/api/shard_selector.h
@@ -1,4 +1,4 @@
-// Choice of a shard for a new job, or for one that may move.
+// Selects the shard of a new job, or of one that may move.
 #ifndef TROUTLINK_CORE_API_SHARD_SELECTOR_H_
 #define TROUTLINK_CORE_API_SHARD_SELECTOR_H_
 
@@ -12,43 +12,42 @@
 
 namespace troutlink {
 
-// What a shard has for a job. Cpus are in thousandths.
+// Capacity of a shard for a job, in milli-CPUs.
 struct ShardCapacity {
-  double free_cpus = 0;       // with some of what the job may push aside
-  double total_cpus = 0;      // without those of critical work
-  double backlog_cpus = 0;    // that wait there and come first
-  double available_cpus = 0;  // free, less the backlog: negative where more waits than is free
-  int placeable_tasks = 0;    // tasks that could start now
-  int suitable_machines = 0;  // that a task fits on once they are empty
-  int ready_tasks = 0;        // that could start where its image is, and nothing has to make way
-  int ready_soon_tasks = 0;   // and with what makes way for it
+  double free_cpus = 0;       // including part of the capacity that the job may preempt
+  double total_cpus = 0;      // without capacity used by production work
+  double backlog_cpus = 0;    // pending work that is served before
+  double available_cpus = 0;  // free minus backlog; may be negative
+  int placeable_tasks = 0;    // that could start now
+  int suitable_machines = 0;  // machines that fit a task when empty
+  int ready_tasks = 0;        // that could start with a cached image and without preemption
+  int ready_soon_tasks = 0;   // the same with preemption
   bool has_live_leader = false;
 };
 
-// Compares the shards by where the tasks of a job could start now, given their zones, and by free
-// cpus less what already waits there and comes first.
+// Compares shards by the number of tasks that could start now, considering zones, and by free CPUs
+// minus backlog.
 class ShardSelector {
  public:
-  // Both must outlive it.
+  // Both must outlive this object.
   ShardSelector(const ShardLoads* loads, ShardBacklog* backlog)
       : loads_(loads), backlog_(backlog) {}
 
-  // What each shard has for the job, by shard id.
+  // Capacity of each shard, by shard id.
   std::vector<ShardCapacity> CapacitiesFor(const JobSpec& spec);
-  // The shard that a new job goes to.
+  // Selects the shard of a new job.
   int Choose(const JobSpec& spec);
 
  private:
-  // Where tasks of the job would be, by the machines that were added so far.
+  // Zones of the job's tasks as placed on the machines visited so far.
   struct Spreads {
     JobSpread placeable;
     JobSpread ready;
   };
-  // Adds what one machine has.
+  // Adds the capacity of one machine.
   void AddMachine(const JobSpec& spec, const MachineLoad& load, ShardCapacity* capacity,
                   Spreads* spreads) const;
-  // The same for replicas that need not wait for their image. `unused` is free now, `left` with
-  // what makes way.
+  // Adds replicas that find their image cached. `unused`: free now; `left`: free after preemption.
   static void AddReadyTasks(const JobSpec& spec, Resources unused, const Resources& left,
                             const CandidateMachine& probe, ShardCapacity* capacity,
                             JobSpread* spread);
--- a/src/core/api/user_api.cc
+++ b/src/core/api/user_api.cc
@@ -15,8 +15,8 @@
       forwarder_(first_forward_id, services.effects, status, cancellations, &counters_),
       records_(services.effects, services.write_budget, services.state_budget, jobs, status,
                &counters_),
-      // Users are told of a cancellation as soon as it is committed: within half the time that
-      // its tasks may run on, every replica has to have it.
+      // Half of the deadline for stopping cancelled tasks: by then every replica must contain a
+      // cancellation that users were told of.
       queries_(settings->cancellation_deadline / 2, services.effects, services.state_budget, jobs,
                status, &records_, cancellations, &forwarder_),
       shard_backlog_(loads),
--- a/src/core/api/user_api.h
+++ b/src/core/api/user_api.h
@@ -25,15 +25,15 @@
 
 namespace troutlink {
 
-// Owns the classes of this module and brings each request of a user, from here or from a peer, to
-// the one that carries it out. All that it is given must outlive it.
+// Owns the classes of this module, and routes requests from users and peers. All arguments must
+// outlive this object.
 class UserApi {
  public:
-  // What the controller has for the module.
+  // Shared services of the controller.
   struct Services {
     Effects* effects;
-    TokenBucket* write_budget;  // of the state service: writes
-    TokenBucket* state_budget;  // of the state service: all requests
+    TokenBucket* write_budget;  // of the key-value store
+    TokenBucket* state_budget;  // of the key-value store, for all requests
   };
 
   // `first_forward_id`: see RequestForwarder.
@@ -43,19 +43,18 @@
   UserApi(const UserApi&) = delete;
   UserApi& operator=(const UserApi&) = delete;
 
-  // A user's poll, submission or cancellation. The method fits the path, and the id in it is a
-  // job's.
+  // Handles a poll, submission or cancellation. The caller has checked the method and the job id.
   void HandleRequest(Micros now, const Request& request);
-  // The same by a peer.
+  // Handles a request forwarded by a peer.
   void HandleForward(Micros now, const std::string& from, const mesh::ForwardedRequest& forward);
-  // A peer's answer to a request that was forwarded to it.
+  // Handles a peer's answer to a forwarded request.
   void HandleForwardReply(Micros now, const mesh::ForwardedResponse& reply);
-  // Several times a second.
+  // Call several times a second.
   void Tick(Micros now) { forwarder_.Tick(now); }
-  // After every input, whatever it was.
+  // Call after every input.
   void CheckQueued(Micros now) { queries_.CheckQueued(now); }
 
-  // For others that found a job's record to be old.
+  // For callers that found a job's record to be stale.
   JobRecordStore& records() { return records_; }
   // For jobs that may move between shards.
   ShardSelector& shard_selector() { return shard_selector_; }
@@ -66,7 +65,7 @@
 
  private:
   void Route(Micros now, const Request& request);
-  // Whether this controller can carry requests out by itself.
+  // Whether this controller can execute requests itself.
   bool Ready(Micros now) const;
 
   const ClusterStatus* const status_;
--- a/src/core/fleet/cloud_answers.h
+++ b/src/core/fleet/cloud_answers.h
@@ -1,4 +1,4 @@
-// The cloud's answers as typed outcomes, so that statuses and bodies are read in one place.
+// Decoded answers of the cloud.
 #ifndef TROUTLINK_CORE_FLEET_CLOUD_ANSWERS_H_
 #define TROUTLINK_CORE_FLEET_CLOUD_ANSWERS_H_
 
@@ -13,40 +13,40 @@
 
 namespace troutlink {
 
-// How long a call to the cloud may take.
+// Timeout of calls to the cloud.
 inline constexpr Micros kCloudTimeout = 5 * kSecond;
 
-// What became of a rental request.
+// Outcome of a rental request.
 enum class RentalOutcome {
-  kRented,        // all instances that were asked for
-  kFilledInPart,  // fewer: there are no more at the moment
-  kRefused,       // none, for good: no capacity, or the request is not valid
-  kUnknown,       // may have been carried out: only a repeat of the same request tells
+  kRented,        // all requested instances
+  kFilledInPart,  // fewer: the capacity is exhausted
+  kRefused,       // permanently: no capacity, or an invalid request
+  kUnknown,       // may have been executed: only a retry with the same id tells
 };
 // For logs and tests.
 std::string_view NameOf(RentalOutcome outcome);
 
-// The answer to a rental request.
+// Answer to a rental request.
 struct RentalAnswer {
   RentalOutcome outcome = RentalOutcome::kUnknown;
-  std::vector<std::string> instances;  // names of those that were rented
+  std::vector<std::string> instances;  // names of the rented instances
   // Whether the request is settled and must not be sent again.
   bool definite() const { return outcome != RentalOutcome::kUnknown; }
 };
-// `status` as in Effects::Handler; `asked`: how many instances the request was for.
+// `status` as in Effects::Handler. `asked`: number of instances requested.
 RentalAnswer DecodeRentalAnswer(int status, const std::string& body, int asked);
 
-// What became of a request to return instances.
+// Outcome of a request to return instances.
 enum class ReturnOutcome {
-  kConfirmed,  // the instances and everything on them are gone
-  kUnknown,    // the request is repeated
+  kConfirmed,  // the instances and their tasks no longer exist
+  kUnknown,    // the request is retried
 };
 // For logs and tests.
 std::string_view NameOf(ReturnOutcome outcome);
 // `status` as in Effects::Handler.
 ReturnOutcome DecodeReturnAnswer(int status);
 
-// A page of the list of instances; nothing when the call failed or the page cannot be read.
+// A page of the list of instances; nothing if the call failed or the page is unreadable.
 std::optional<wire::MachinePage> DecodeInstanceListAnswer(int status, const std::string& body);
 
 }  // namespace troutlink
--- a/src/core/fleet/instance_lister.cc
+++ b/src/core/fleet/instance_lister.cc
@@ -14,7 +14,7 @@
 constexpr Micros kRetryPeriod = 3 * kSecond;
 constexpr Micros kHurriedPeriod = 1500 * kMillisecond;
 constexpr Micros kLeastPeriod = 2 * kSecond;
-constexpr double kReserve = 1;  // calls that are left to rentals and returns
+constexpr double kReserve = 1;  // calls left for rentals and returns
 }  // namespace
 
 InstanceLister::InstanceLister(const Pacing& pacing, Effects* effects, TokenBucket* cloud_calls,
@@ -28,7 +28,7 @@
 void InstanceLister::Advance(Micros now) {
   if (reading_ && !next_page_after_.empty()) {
     if (now - asked_ > kListTimeoutTotal) {
-      reading_ = false;  // its first pages are too old
+      reading_ = false;  // the first pages are outdated
     } else if (cloud_calls_->Take(now, 1, kReserve)) {
       AskPage(std::exchange(next_page_after_, {}));
     }
@@ -58,13 +58,13 @@
     reading_ = false;
     instances_.clear();
     next_list_ = now + kRetryPeriod;
-    return;  // the next list begins anew
+    return;  // start over with the next list
   }
   instances_.insert(instances_.end(), page->machines.begin(), page->machines.end());
   ++pages_;
   if (page->more && !page->machines.empty()) {
-    // Goes on as soon as there is a call for it: a list that was dropped for
-    // want of one never showed more than the first pages of a large fleet.
+    // Wait for a call instead of dropping the list: otherwise a large fleet would never be listed
+    // completely.
     next_page_after_ = page->machines.back().name;
     return;
   }
@@ -75,7 +75,7 @@
 }
 
 Micros InstanceLister::Period() const {
-  // Half of our calls are left to rentals and returns.
+  // Half of this node's calls are left for rentals and returns.
   const auto paced = static_cast<Micros>(2.0 * pages_ * pacing_.shard_count / pacing_.cloud_rps *
                                          static_cast<double>(kSecond));
   return std::max(paced, hurry_() ? kHurriedPeriod
--- a/src/core/fleet/instance_lister.h
+++ b/src/core/fleet/instance_lister.h
@@ -1,4 +1,4 @@
-// The cloud's list of our instances, read page by page.
+// Paged list of the instances rented from the cloud.
 #ifndef TROUTLINK_CORE_FLEET_INSTANCE_LISTER_H_
 #define TROUTLINK_CORE_FLEET_INSTANCE_LISTER_H_
 
@@ -14,39 +14,39 @@
 
 namespace troutlink {
 
-// Reads the list again and again, at a pace that leaves calls to rentals and returns, and hands
-// each one on when it is complete. A list that fails on the way begins anew.
+// Lists the instances repeatedly, at a pace that leaves calls for rentals and returns, and delivers
+// each complete list. A failed list starts over.
 class InstanceLister {
  public:
-  // What the pace follows from.
+  // Parameters of the pace.
   struct Pacing {
     int shard_count = 1;   // controllers that share the rate
-    double cloud_rps = 0;  // calls in a second that the cloud takes, of all controllers
-    Micros list_lag = 0;   // how old a list may be
+    double cloud_rps = 0;  // call rate limit of the cloud, for all controllers
+    Micros list_lag = 0;   // maximum age of a list
   };
-  // Whether the next list should come soon, as some instance is silent.
+  // Whether to list again soon, as some instance is silent.
   using Hurry = std::function<bool()>;
-  // A list is complete; its first page was asked for at `asked`.
+  // Receives a complete list, whose first page was requested at `asked`.
   using Completed =
       std::function<void(Micros now, Micros asked, const std::vector<ListedMachine>& instances)>;
 
-  // `effects` and `cloud_calls` must outlive this.
+  // `effects` and `cloud_calls` must outlive this object.
   InstanceLister(const Pacing& pacing, Effects* effects, TokenBucket* cloud_calls, Hurry hurry,
                  Completed completed);
 
-  // Asks for the next page, or begins the next list, when that is due and there is a call for
-  // it; called at every tick of a controller that leads a shard, after its rentals and returns.
+  // Requests the next page or starts the next list if due and within the call budget. Call at every
+  // tick while leading a shard, after its rentals and returns.
   void Advance(Micros now);
 
-  // What was read of the last list so far. Empty after a failure.
+  // The last list as far as it was read. Empty after a failure.
   const std::vector<ListedMachine>& instances() const { return instances_; }
 
  private:
   void BeginList(Micros now);
-  // Asks for the page that follows the instance `after`; empty: for the first one.
+  // Requests the page after the instance `after`; empty: the first page.
   void AskPage(const std::string& after);
   void OnPage(Micros now, int status, const std::string& body);
-  // How long after its begin the next list follows a complete one.
+  // Time from the start of a complete list to the start of the next one.
   Micros Period() const;
 
   const Pacing pacing_;
@@ -56,9 +56,9 @@
   const Completed completed_;
   std::vector<ListedMachine> instances_;
   bool reading_ = false;
-  std::string next_page_after_;  // empty: none is due
+  std::string next_page_after_;  // empty: no page is due
   int pages_ = 0;
-  Micros asked_ = 0;  // when the list was begun
+  Micros asked_ = 0;  // start of the list
   Micros next_list_ = 0;
 };
 
--- a/src/core/fleet/instance_returns.h
+++ b/src/core/fleet/instance_returns.h
@@ -1,4 +1,4 @@
-// Scale in: instances that go back to the cloud.
+// Scale in: returns instances to the cloud.
 #ifndef TROUTLINK_CORE_FLEET_INSTANCE_RETURNS_H_
 #define TROUTLINK_CORE_FLEET_INSTANCE_RETURNS_H_
 
@@ -16,29 +16,29 @@
 
 namespace troutlink {
 
-// Sends instances that leave an assignment table back to the cloud, until that confirms it, and
-// remembers the confirmation until the table has dropped them.
+// Returns draining instances to the cloud until it confirms, and remembers the confirmation until
+// the assignment table has dropped the instance.
 class InstanceReturns {
  public:
-  // The cloud confirmed that the instance and everything on it is gone. False when the shard's
-  // table no longer has it, or the shard is no longer led here: the confirmation is dropped.
+  // The cloud confirmed that the instance and its tasks no longer exist. Returns false, which
+  // discards the confirmation, if this node's shard no longer contains the instance.
   using Returned = std::function<bool(int shard_id, const std::string& name)>;
-  // A request of that shard was answered, one way or the other; called after `Returned`.
+  // A request of that shard was answered; called after `Returned`.
   using Answered = std::function<void(int shard_id)>;
 
-  // The pointers must outlive this.
+  // The pointers must outlive this object.
   InstanceReturns(Effects* effects, TokenBucket* cloud_calls, Returned returned, Answered answered);
 
-  // Sends one request for those of a shard's instances that leave and whose return is due. Only a
-  // shard's leader returns its instances.
+  // Sends one request for the draining instances that are due. Call for shards that this node
+  // leads.
   void Send(Micros now, int shard_id, const std::map<std::string, AssignedMachine>& instances);
-  // Whether the cloud confirmed the return and a table may still have the instance.
+  // Whether the return was confirmed while a table may still contain the instance.
   bool Confirmed(const std::string& name) const { return confirmed_.count(name) != 0; }
-  // Drops the confirmations of instances that no table has any more.
+  // Drops confirmations of instances that no table contains any more.
   void DropConfirmed(const std::function<bool(const std::string& name)>& assigned);
-  // A request in flight for the instance was made under another leadership and counts no more.
+  // Forgets a request in flight that was made under another leadership.
   void Restart(const std::string& name);
-  // Nothing is known of the instance any more.
+  // Forgets the instance.
   void Forget(const std::string& name) { requests_.erase(name); }
 
  private:
@@ -46,7 +46,7 @@
     bool in_flight = false;
     Micros retry_at = 0;
   };
-  // Whether to ask for the instance's return now.
+  // Whether to request the instance's return now.
   bool Due(Micros now, const AssignedMachine& instance) const;
   void OnAnswer(Micros now, int shard_id, const std::vector<std::string>& names,
                 ReturnOutcome outcome);
--- a/src/core/fleet/machine_type_catalog.cc
+++ b/src/core/fleet/machine_type_catalog.cc
@@ -36,7 +36,7 @@
   Store(now, body);
 }
 
-// Kept for the day on which we start while the cloud is away.
+// Stores the types for starts during an outage of the cloud.
 void MachineTypeCatalog::Store(Micros now, const std::string& body) {
   if (!stored_.empty() || !take_write_(now)) return;
   stored_ = body;
--- a/src/core/fleet/machine_type_catalog.h
+++ b/src/core/fleet/machine_type_catalog.h
@@ -1,4 +1,4 @@
-// The machine types that the cloud rents out.
+// Machine types offered by the cloud.
 #ifndef TROUTLINK_CORE_FLEET_MACHINE_TYPE_CATALOG_H_
 #define TROUTLINK_CORE_FLEET_MACHINE_TYPE_CATALOG_H_
 
@@ -13,25 +13,25 @@
 
 namespace troutlink {
 
-// Asks the cloud for its machine types once a minute and stores one copy of them in the state
-// service, for a start while the cloud is away. Empty until either of them was heard.
+// Refreshes the types from the cloud every minute, and stores a copy in the key-value store for
+// starts during an outage of the cloud. Empty until either source has answered.
 class MachineTypeCatalog {
  public:
-  // Whether the state service may be written to now; if so, the write is taken from its budget.
+  // Takes a write from the write budget; returns false if there is none.
   using TakeWrite = std::function<bool(Micros now)>;
 
-  // `effects` and `cloud_calls` must outlive this.
+  // `effects` and `cloud_calls` must outlive this object.
   MachineTypeCatalog(Effects* effects, TokenBucket* cloud_calls, TakeWrite take_write);
 
-  // Asks the cloud again when that is due and there is a call for it; called at every tick.
+  // Requests the types if due and within the call budget. Call at every tick.
   void Refresh(Micros now);
-  // The copy that the state service holds, as it was stored. Used until the cloud answers.
+  // Loads the stored copy, which is used until the cloud answers.
   void LoadStored(const std::string& value);
 
   bool empty() const { return types_.empty(); }
   // In the cloud's order.
   const std::vector<MachineType>& types() const { return types_; }
-  // The type of that name, or null. Valid until the next input to the controller.
+  // The type with that name, or null. Valid until the next input to the controller.
   const MachineType* Find(const std::string& name) const;
 
  private:
@@ -42,7 +42,7 @@
   TokenBucket* const cloud_calls_;
   const TakeWrite take_write_;
   std::vector<MachineType> types_;
-  std::string stored_;  // what the state service holds, as far as we know
+  std::string stored_;  // stored copy, as far as known
   bool in_flight_ = false;
   Micros next_refresh_ = 0;
 };
--- a/src/core/fleet/offer.h
+++ b/src/core/fleet/offer.h
@@ -1,4 +1,4 @@
-// What the cloud rents out: instances of a machine type, in a zone, spot or on demand.
+// Offers of the cloud: instances of a machine type, in a zone, spot or on demand.
 #ifndef TROUTLINK_CORE_FLEET_OFFER_H_
 #define TROUTLINK_CORE_FLEET_OFFER_H_
 
@@ -9,7 +9,7 @@
 
 namespace troutlink {
 
-// Names an offer.
+// Identifies an offer.
 struct OfferKey {
   std::string type;
   std::string zone;
@@ -20,9 +20,9 @@
   std::string Text() const { return type + "/" + zone + (spot ? "/spot" : "/steady"); }
 };
 
-// An offer that was chosen.
+// A selected offer.
 struct Offer {
-  const MachineType* type = nullptr;  // of the catalog; valid until the next input
+  const MachineType* type = nullptr;  // in the catalog; valid until the next input
   std::string zone;
   bool spot = false;
 
--- a/src/core/fleet/offer_backoff.h
+++ b/src/core/fleet/offer_backoff.h
@@ -1,4 +1,4 @@
-// Which offers are left alone for a while, as the cloud had no capacity for them.
+// Backoff from offers without capacity.
 #ifndef TROUTLINK_CORE_FLEET_OFFER_BACKOFF_H_
 #define TROUTLINK_CORE_FLEET_OFFER_BACKOFF_H_
 
@@ -10,23 +10,23 @@
 
 namespace troutlink {
 
-// Exponential backoff by offer, from its rental requests.
+// Exponential backoff by offer, driven by the results of rental requests.
 class OfferBackoff {
  public:
-  // `pause`: how long an offer is left alone after its first refusal.
+  // `pause`: backoff after the first refusal.
   explicit OfferBackoff(Micros pause) : pause_(pause) {}
 
-  // A request for the offer was filled.
+  // A request for the offer was fully granted.
   void Filled(const OfferKey& offer) { pauses_.erase(offer); }
-  // A request got fewer instances than it asked for: there are no more at the moment.
+  // A request was granted in part: the capacity is exhausted.
   void FilledInPart(Micros now, const OfferKey& offer) { pauses_[offer] = {now + pause_, 1}; }
-  // A request was refused. Every request costs writes and calls: ask less and less often.
+  // A request was refused.
   void Refused(Micros now, const OfferKey& offer) {
     Pause& pause = pauses_[offer];
     pause.until = now + (pause_ << std::min(pause.refusals, kMaxDoublings));
     ++pause.refusals;
   }
-  // Whether the offer is not to be asked for now.
+  // Whether to back off from the offer now.
   bool Paused(Micros now, const OfferKey& offer) const {
     auto found = pauses_.find(offer);
     return found != pauses_.end() && now < found->second.until;
@@ -39,7 +39,7 @@
     int refusals = 0;
   };
   const Micros pause_;
-  std::map<OfferKey, Pause> pauses_;  // as many as there are offers
+  std::map<OfferKey, Pause> pauses_;  // bounded by the number of offers
 };
 
 }  // namespace troutlink
--- a/src/core/fleet/offer_health.h
+++ b/src/core/fleet/offer_health.h
@@ -1,5 +1,4 @@
-// Remembers which kinds of machines lately failed to come up after they were rented, so that
-// another type, zone or kind is preferred while that lasts.
+// Tracks which offers recently failed to boot, so that others are preferred meanwhile.
 #ifndef TROUTLINK_CORE_FLEET_OFFER_HEALTH_H_
 #define TROUTLINK_CORE_FLEET_OFFER_HEALTH_H_
 
@@ -11,17 +10,16 @@
 
 namespace troutlink {
 
-// Counts boots by offer. Counts halve with time, so that an
-// offer that failed is tried again later.
+// Counts boots by offer, with exponential decay, so that a failed offer is tried again later.
 class OfferHealth {
  public:
-  // A machine of that offer reported for the first time.
+  // A machine of that offer sent its first heartbeat.
   void CameUp(Micros now, const OfferKey& offer) { Count(now, offer)->up += 1; }
-  // A machine of that offer was given up before it had reported.
+  // A machine of that offer was declared lost before its first heartbeat.
   void NeverCameUp(Micros now, const OfferKey& offer) { Count(now, offer)->failed += 1; }
 
-  // By how much the price of an offer is multiplied when offers are compared: 1 for one
-  // without failures, more the larger their share. One failure alone says nothing.
+  // Factor by which the price is multiplied to compare offers: 1 without failures, higher with
+  // their share. A single failure does not count.
   double PriceFactor(Micros now, const OfferKey& offer) const {
     auto found = boots_.find(offer);
     if (found == boots_.end()) return 1;
@@ -32,7 +30,8 @@
 
  private:
   static constexpr Micros kHalfLife = 120 * kSecond;
-  static constexpr double kFewFailures = 1.5;  // faded counts of two failures in short order
+  static constexpr double kFewFailures =
+      1.5;  // just below the decayed count of two recent failures
   static constexpr double kMaxPenalty = 4;
 
   struct Boots {
@@ -52,7 +51,7 @@
     return &boots;
   }
 
-  std::map<OfferKey, Boots> boots_;  // as many as there are offers
+  std::map<OfferKey, Boots> boots_;  // bounded by the number of offers
 };
 
 }  // namespace troutlink
--- a/src/core/fleet/offer_selector.cc
+++ b/src/core/fleet/offer_selector.cc
@@ -5,7 +5,7 @@
 namespace troutlink {
 
 namespace {
-constexpr int kMaxTasksCounted = 64;  // of one instance: more make it no cheaper for each
+constexpr int kMaxTasksCounted = 64;  // per instance; more make no difference to the choice
 constexpr double kZoneBalance = 0.001;
 }  // namespace
 
@@ -26,7 +26,7 @@
       if (!Allowed(want.spec, want.spread, probe)) continue;
       double cost = (want.spot ? type.spot_price : type.price) / std::min(tasks, kMaxTasksCounted);
       cost *= health_->PriceFactor(now, offer.key());
-      // Evenly over the zones, where it costs nothing.
+      // At equal prices, distribute evenly over zones.
       auto have = want.instances_by_zone.find(zone);
       if (have != want.instances_by_zone.end()) cost *= 1.0 + kZoneBalance * have->second;
       if (!cheapest || cost < least) {
--- a/src/core/fleet/offer_selector.h
+++ b/src/core/fleet/offer_selector.h
@@ -1,4 +1,4 @@
-// Which offer to rent for a job.
+// Selects the offer to rent for a job.
 #ifndef TROUTLINK_CORE_FLEET_OFFER_SELECTOR_H_
 #define TROUTLINK_CORE_FLEET_OFFER_SELECTOR_H_
 
@@ -15,24 +15,22 @@
 
 namespace troutlink {
 
-// Compares the offers of the catalog by price for each task, among those that are not backed off
-// from. Changes nothing.
+// Compares the catalog's offers without backoff by price per task. Has no state.
 class OfferSelector {
  public:
-  // All three must outlive this.
+  // All pointers must outlive this object.
   OfferSelector(const MachineTypeCatalog* types, const OfferHealth* health,
                 const OfferBackoff* backoff)
       : types_(types), health_(health), backoff_(backoff) {}
 
-  // What to rent for one more task of a job.
+  // Requirements of one more task of a job.
   struct Want {
     const JobSpec& spec;
-    const JobSpread& spread;  // where its tasks are
-    bool spot = false;        // spot instances, or those at the full price
+    const JobSpread& spread;  // of its tasks so far
+    bool spot = false;        // spot or on-demand instances
     const std::map<std::string, int>& instances_by_zone;
   };
-  // The cheapest offer that fits; nothing when none does. Of equal ones the first in the
-  // catalog's order.
+  // The cheapest suitable offer, if any. Ties are broken by the catalog's order.
   std::optional<Offer> Cheapest(Micros now, const Want& want) const;
 
  private:
--- a/src/core/fleet/rental_requests.cc
+++ b/src/core/fleet/rental_requests.cc
@@ -41,7 +41,8 @@
   }
   if (answer.definite()) {
     state.answered = true;
-    // A request that was forgotten may be answered twice: a refusal leaves what was rented.
+    // A request that was forgotten and sent again may have a second answer: a refusal keeps the
+    // instances that were rented before.
     if (answer.outcome != RentalOutcome::kRefused) state.instances = answer.instances;
   }
   answered_(shard_id, answer);
--- a/src/core/fleet/rental_requests.h
+++ b/src/core/fleet/rental_requests.h
@@ -1,4 +1,4 @@
-// Scale out: requests for instances, each sent until the cloud gave a definite answer.
+// Scale out: requests for instances, retried until the cloud answers definitely.
 #ifndef TROUTLINK_CORE_FLEET_RENTAL_REQUESTS_H_
 #define TROUTLINK_CORE_FLEET_RENTAL_REQUESTS_H_
 
@@ -16,26 +16,24 @@
 
 namespace troutlink {
 
-// Sends rental requests and keeps their answers. A request is idempotent by its id: the cloud
-// carries it out once however often it is sent, so one whose outcome is unknown is repeated.
-// The caller has the request on record in its assignment table before it is first sent, and
-// until all of its instances are adopted.
+// Sends rental requests and keeps their answers. The cloud executes a request once per id, so one
+// with an unknown outcome is retried. The caller keeps the request in its assignment table from
+// before the first call until all of its instances are adopted.
 class RentalRequests {
  public:
   // A request of that shard was answered.
   using Answered = std::function<void(int shard_id, const RentalAnswer& answer)>;
 
-  // The pointers must outlive this; `backoff` is told what became of each offer.
+  // The pointers must outlive this object. `backoff` receives the outcomes.
   RentalRequests(Effects* effects, TokenBucket* cloud_calls, OfferBackoff* backoff,
                  Answered answered);
 
-  // Sends the request unless it is in flight, answered, to be repeated later only, or there is no
-  // call for it. Only a shard's leader sends its requests.
+  // Sends the request unless it is in flight, answered, waiting for a retry, or out of budget. Call
+  // for shards that this node leads.
   void Send(Micros now, int shard_id, const RentRequest& ask);
-  // The instances of a request that has its definite answer, none if it was refused; null: it has
-  // no such answer yet.
+  // The instances of a request with a definite answer, none if it was refused; null without one.
   const std::vector<std::string>* InstancesOf(const std::string& request) const;
-  // Another leader may have sent it meanwhile: its answer is asked for anew.
+  // Requests the answer again, as another leader may have sent the request meanwhile.
   void Forget(const std::string& request) { requests_.erase(request); }
 
  private:
--- a/src/core/io/effects.h
+++ b/src/core/io/effects.h
@@ -1,4 +1,4 @@
-// What the core does to the outside: calls, replies, messages to peers and lines of the log.
+// Outgoing calls, replies, peer messages and log lines of the core.
 #ifndef TROUTLINK_CORE_IO_EFFECTS_H_
 #define TROUTLINK_CORE_IO_EFFECTS_H_
 
@@ -14,14 +14,14 @@
 
 namespace troutlink {
 
-// Collects what the modules of one controller want done until the runtime takes it, and keeps
-// the handlers of calls that are not answered yet. Shared by all modules; does no I/O itself.
+// Collects the output of all modules of a controller until the runtime takes it, and keeps the
+// handlers of open calls. Does no I/O.
 class Effects {
  public:
-  // Called once with the answer to a call: its HTTP status, or kNoAnswer or kNotSent.
+  // Called once with the answer to a call. `status`: the HTTP status, or kNoAnswer or kNotSent.
   using Handler = std::function<void(Micros now, int status, const std::string& body)>;
 
-  // Calls sent so far, by destination, and answers that refused one for its rate (429).
+  // Calls sent, by destination, and answers with status 429.
   struct CallCounts {
     uint64_t state = 0;
     uint64_t cloud = 0;
@@ -29,28 +29,30 @@
     uint64_t rate_limited = 0;
   };
 
-  // Every request to the state service is charged to `state_requests`, which must outlive this.
+  // `state_requests` is charged for every request to the key-value store and must outlive this
+  // object.
   explicit Effects(TokenBucket* state_requests) : state_requests_(state_requests) {}
 
-  // Queues a call; `handler` gets its answer. `addr` only for agents. `timeout` in microseconds.
+  // Queues a call; `handler` receives its answer. `addr` is for agents only. `timeout` is in
+  // microseconds.
   void Send(Dest dest, std::string addr, std::string method, std::string target, std::string body,
             Micros timeout, Handler handler);
-  // Queues the reply to a request that the runtime brought.
+  // Queues the reply to a request.
   void SendReply(Reply reply) { outbox_.replies.push_back(std::move(reply)); }
   // Queues a message to another controller.
   void SendToPeer(PeerMessage message) { outbox_.peers.push_back(std::move(message)); }
-  // Queues a line of the log. Debug lines are dropped unless they are wanted.
+  // Queues a log line. Debug lines are dropped unless enabled.
   void Log(LogLine::Level level, std::string text);
 
-  // Whether debug lines are wanted; callers skip building them otherwise.
+  // Whether debug lines are enabled, so that callers can avoid building them.
   bool logs_debug() const { return logs_debug_; }
   void set_logs_debug(bool wanted) { logs_debug_ = wanted; }
-  // The time that state requests are charged at: that of the last tick.
+  // Sets the time at which requests to the key-value store are charged.
   void set_last_tick(Micros now) { last_tick_ = now; }
 
-  // Runs the handler of that call; does nothing for one that is not open.
+  // Runs the handler of an open call; ignores other ids.
   void HandleAnswer(Micros now, uint64_t call, int status, const std::string& body);
-  // Everything queued since the last time.
+  // Takes everything queued since the last call.
   Outbox TakeOutbox();
 
   const CallCounts& call_counts() const { return call_counts_; }
--- a/src/core/io/event.h
+++ b/src/core/io/event.h
@@ -1,4 +1,4 @@
-// One structured line of the log: `event=NAME key=value ...`.
+// Structured log line: `event=NAME key=value ...`.
 #ifndef TROUTLINK_CORE_IO_EVENT_H_
 #define TROUTLINK_CORE_IO_EVENT_H_
 
@@ -10,7 +10,7 @@
 
 namespace troutlink {
 
-// Builds the line field by field. Values have no spaces; texts that may have are put last.
+// Builds the line field by field. Values contain no spaces, except that of the last field.
 class Event {
  public:
   explicit Event(std::string_view name) { text_.append("event=").append(name); }
@@ -21,7 +21,7 @@
   }
   Event& With(std::string_view key, uint64_t value) { return With(key, std::to_string(value)); }
   Event& With(std::string_view key, int value) { return With(key, std::to_string(value)); }
-  // A span of time, in milliseconds.
+  // Adds a duration in milliseconds.
   Event& WithSpan(std::string_view key, Micros span) {
     return With(key, std::to_string(span / kMillisecond));
   }
--- a/src/core/io/fair_turns.h
+++ b/src/core/io/fair_turns.h
@@ -1,4 +1,4 @@
-// Whose turn it is at a token bucket that several users share.
+// Fair sharing of a token bucket.
 #ifndef TROUTLINK_CORE_IO_FAIR_TURNS_H_
 #define TROUTLINK_CORE_IO_FAIR_TURNS_H_
 
@@ -6,16 +6,15 @@
 
 namespace troutlink {
 
-// Prevents starvation among several users of one token bucket: the one that was refused is the
-// next to be served, as users that take little at a time would leave nothing for one that takes
-// much.
+// Prevents starvation between clients of a token bucket: after a refusal, that client is served
+// next, so that clients with small requests cannot starve one with large requests.
 class FairTurns {
  public:
-  // Whether `who` may try the bucket now.
+  // Whether `who` may try to take tokens now.
   bool MayTake(Micros now, int who) const {
     return waiting_ < 0 || waiting_ == who || now - since_ >= kForget;
   }
-  // `who` tried; `got`: whether there were enough tokens.
+  // Records an attempt by `who`, and whether it was granted.
   void Took(Micros now, int who, bool got) {
     if (!got) {
       waiting_ = who;
@@ -26,7 +25,7 @@
   }
 
  private:
-  static constexpr Micros kForget = kSecond;  // it no longer asks
+  static constexpr Micros kForget = kSecond;  // then the waiting client is assumed to have given up
   int waiting_ = -1;
   Micros since_ = 0;
 };
--- a/src/core/io/io.h
+++ b/src/core/io/io.h
@@ -1,5 +1,4 @@
-// What goes into the core and what it hands back. The core does no I/O, reads
-// no clock and draws no random numbers: everything arrives as an argument.
+// Inputs and outputs of the core, which does no I/O, reads no clock and draws no random numbers.
 #ifndef TROUTLINK_CORE_IO_IO_H_
 #define TROUTLINK_CORE_IO_IO_H_
 
@@ -28,14 +27,15 @@
 
 enum class Dest { kState, kWatch, kCloud, kWorker };
 
-// Statuses of calls that got no answer.
-inline constexpr int kNoAnswer = 0;  // sent, at least in part: may be or become executed
-inline constexpr int kNotSent = -1;  // the connection never opened: will not be executed
+// Statuses of calls without an answer.
+inline constexpr int kNoAnswer =
+    0;  // sent, at least in part: it may have been or may yet be executed
+inline constexpr int kNotSent = -1;  // the connection was never opened: it will not be executed
 
 struct Call {
   uint64_t id = 0;
   Dest dest = Dest::kState;
-  std::string addr;  // workers
+  std::string addr;  // for agents only
   std::string method;
   std::string target;
   std::string body;
--- a/src/core/io/token_bucket.h
+++ b/src/core/io/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket on the steady clock: keeps to a rate that a service announces.
+// Token bucket on the steady clock, to respect a rate limit of a service.
 #ifndef TROUTLINK_CORE_IO_TOKEN_BUCKET_H_
 #define TROUTLINK_CORE_IO_TOKEN_BUCKET_H_
 
@@ -8,39 +8,38 @@
 
 namespace troutlink {
 
-// Fills at a rate and holds at most a burst; may go into debt. Not thread-safe.
+// Refills at a rate up to a burst; may go into debt. Not thread-safe.
 class TokenBucket {
  public:
-  // Tokens per second, and the most that it holds. It begins full.
+  // `per_second`: refill rate. `burst`: capacity. The bucket starts full.
   TokenBucket(double per_second, double burst) : rate_(per_second), burst_(burst), have_(burst) {}
 
-  // Takes `n` tokens if `reserve` more would be left; false, and nothing taken, otherwise.
+  // Takes `n` tokens if at least `reserve` remain. Returns false, and takes none, otherwise.
   bool Take(Micros now, double n = 1, double reserve = 0) {
     Refill(now);
-    // More than the bucket holds is taken from a full one and worked off; else
-    // it would wait for ever.
+    // A request above the capacity is granted from a full bucket and paid off later.
     if (have_ < std::min(n + reserve, burst_)) return false;
     have_ -= n;
     return true;
   }
-  // Whether there is so much; somebody else takes it.
+  // Whether `n` tokens are available, without taking them.
   bool Has(Micros now, double n) {
     Refill(now);
     return have_ >= std::min(n, burst_);
   }
-  // Takes what must go out anyway; the debt is worked off.
+  // Takes tokens even if there are too few; the debt is paid off later.
   void Force(Micros now, double n = 1) {
     Refill(now);
     have_ = std::max(have_ - n, -burst_);
   }
-  // Somebody else's use showed: act as if it were empty.
+  // Empties the bucket, after the service has reported its limit as exceeded.
   void Drain(Micros now) {
     Refill(now);
     have_ = std::min(have_, 0.0);
   }
   // Tokens at the last refill; negative while in debt.
   double have() const { return have_; }
-  // Another rate from now on.
+  // Changes the refill rate.
   void SetRate(Micros now, double per_second) {
     if (per_second == rate_) return;
     Refill(now);
