--- a/src/base/digits.h
+++ b/src/base/digits.h
@@ -1,5 +1,5 @@
-// Varints as printable text, for records that are stored as text: each character holds five
-// bits of the number, least significant first, and a sixth bit that says whether more follow.
+// Varints as printable text, for records stored as text: each character holds five bits of the
+// number, least significant first, and a continuation bit.
 #ifndef TROUTLINK_BASE_DIGITS_H_
 #define TROUTLINK_BASE_DIGITS_H_
 
@@ -10,14 +10,14 @@
 
 namespace troutlink {
 
-// The character for each value from 0 to 63: the alphabet of base64url (RFC 4648).
+// Character for each value from 0 to 63: the alphabet of base64url (RFC 4648).
 inline constexpr std::string_view kDigits =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
-// Bits of the number in a character.
+// Payload bits per character.
 inline constexpr int kDigitBits = 5;
-// The part of a character's value that belongs to the number.
+// Payload of a character's value.
 inline constexpr uint64_t kDigitMask = 31;
-// Set in a character's value when more characters follow.
+// Continuation bit of a character's value.
 inline constexpr uint64_t kMoreDigits = 32;
 
 // Appends `value` to `out`.
@@ -29,7 +29,7 @@
   out->push_back(kDigits[value]);
 }
 
-// The place of `letter` in kDigits; nothing when it has none.
+// Index of `letter` in kDigits, if any.
 constexpr std::optional<uint64_t> DigitValue(char letter) {
   if (letter >= 'A' && letter <= 'Z') return static_cast<uint64_t>(letter - 'A');
   if (letter >= 'a' && letter <= 'z') return static_cast<uint64_t>(letter - 'a') + 26;
@@ -39,8 +39,8 @@
   return std::nullopt;
 }
 
-// Reads a number from the front of `in` and advances it; false when `in` ends early
-// or does not hold a number of 64 bits.
+// Reads a number from the front of `in` and advances it. Returns false if `in` ends early or the
+// number exceeds 64 bits.
 inline bool ReadTextVarint(std::string_view* in, uint64_t* value) {
   // The thirteenth character holds the last four of the 64 bits.
   constexpr int kLastShift = 60;
@@ -64,7 +64,7 @@
   out->append(text);
 }
 
-// Reads what AppendSizedText() wrote and advances `in`; false when `in` ends early.
+// Reads the output of AppendSizedText() and advances `in`. Returns false if `in` ends early.
 inline bool ReadSizedText(std::string_view* in, std::string* text) {
   uint64_t size = 0;
   if (!ReadTextVarint(in, &size) || size > in->size()) return false;
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,5 +1,4 @@
-// Names used by several packages: the form of job ids, and a hash of machine names
-// that every controller computes alike.
+// Format of job ids, and a hash that is the same on every controller.
 #ifndef TROUTLINK_BASE_IDS_H_
 #define TROUTLINK_BASE_IDS_H_
 
@@ -9,8 +8,8 @@
 
 namespace troutlink {
 
-// Hash of `text` (FNV-1a, then mixed): equal on every node and in every release, unlike
-// std::hash.
+// Hash of `text` (FNV-1a, then mixed). Unlike std::hash, it is equal on every node and in every
+// release.
 constexpr uint64_t StableHash(std::string_view text) {
   constexpr uint64_t kFnvOffsetBasis = 14695981039346656037ULL;
   constexpr uint64_t kFnvPrime = 1099511628211ULL;
@@ -20,7 +19,7 @@
     hash ^= static_cast<unsigned char>(letter);
     hash *= kFnvPrime;
   }
-  // FNV's low bits of short names are poorly mixed; fold the high ones in, twice.
+  // FNV mixes the low bits of short names poorly: fold in the high bits, twice.
   constexpr int kFirstFold = 32;
   constexpr int kSecondFold = 29;
   hash ^= hash >> kFirstFold;
@@ -28,9 +27,9 @@
   return hash ^ (hash >> kSecondFold);
 }
 
-// Every job id starts with this.
+// Prefix of every job id.
 inline constexpr std::string_view kJobPrefix = "job-";
-// The most decimal digits after the prefix.
+// Maximum number of decimal digits after the prefix.
 inline constexpr size_t kMaxJobDigits = 32;
 
 // Whether `id` is a job id: `job-` and 1 to 32 decimal digits.
--- a/src/base/micros.h
+++ b/src/base/micros.h
@@ -1,5 +1,5 @@
-// The unit of time: whole microseconds, both for points in time and for durations.
-// A point in time counts from an origin that its clock defines.
+// Time in whole microseconds, for points in time and for durations. The origin of a point in time
+// depends on its clock.
 #ifndef TROUTLINK_BASE_MICROS_H_
 #define TROUTLINK_BASE_MICROS_H_
 
@@ -11,12 +11,10 @@
 // A point in time or a duration.
 using Micros = int64_t;
 
-// One millisecond.
 inline constexpr Micros kMillisecond = 1000;
-// One second.
 inline constexpr Micros kSecond = 1000 * kMillisecond;
 
-// The steady clocks of two machines differ in rate by up to this many parts in a million.
+// Maximum difference between the rates of two machines' steady clocks, in parts per million.
 inline constexpr int64_t kDriftPerMillion = 500;
 
 // `seconds` rounded to whole microseconds.
@@ -29,18 +27,18 @@
   return static_cast<double>(time) / static_cast<double>(kSecond);
 }
 
-// How much the clocks of two machines may differ over `duration`, rounded down.
+// Maximum clock drift between two machines over `duration`, rounded down.
 [[nodiscard]] constexpr Micros ClockDrift(Micros duration) {
   constexpr int64_t kMillion = 1000000;
   return duration * kDriftPerMillion / kMillion;
 }
 
-// The longest that a duration on another machine's clock may take on this one's.
+// Maximum time on this machine's clock for a duration on another machine's.
 [[nodiscard]] constexpr Micros LongestOnOtherClock(Micros duration) {
   return duration + ClockDrift(duration);
 }
 
-// The shortest that a duration on another machine's clock may take on this one's.
+// Minimum time on this machine's clock for a duration on another machine's.
 [[nodiscard]] constexpr Micros ShortestOnOtherClock(Micros duration) {
   return duration - ClockDrift(duration);
 }
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,5 +1,4 @@
-// The outcome of an operation that may fail: a value, or a typed error with one line of
-// text that says what is wrong.
+// Result of an operation that may fail: a value, or a typed error with one line of text.
 #ifndef TROUTLINK_BASE_RESULT_H_
 #define TROUTLINK_BASE_RESULT_H_
 
@@ -9,26 +8,24 @@
 
 namespace troutlink {
 
-// What was wrong: `code` for the program, `text` for a person, such as whoever sent a document
-// that is refused.
+// `code` for the program, `text` for the person who caused the error.
 template <typename Code>
 struct Error {
   Code code;
   std::string text;
 };
 
-// Holds a value or an error, never both. Reading the one that is not held is a
-// fault of the caller, with undefined behaviour.
+// Holds either a value or an error. Reading the one that is not held is undefined behaviour.
 template <typename Value, typename Code>
 class [[nodiscard]] Result {
  public:
-  // Implicit, so that functions return a value or an error as it is, as with std::optional.
+  // Implicit, so that functions can return a value or an error directly, as with std::optional.
   Result(Value value)  // NOLINT(google-explicit-constructor): see above
       : state_(std::in_place_index<0>, std::move(value)) {}
   Result(Error<Code> error)  // NOLINT(google-explicit-constructor): see above
       : state_(std::in_place_index<1>, std::move(error)) {}
 
-  // True when it holds a value.
+  // Whether it holds a value.
   [[nodiscard]] explicit operator bool() const { return state_.index() == 0; }
   // The value.
   [[nodiscard]] Value& operator*() { return *std::get_if<0>(&state_); }
--- a/src/config/endpoint.cc
+++ b/src/config/endpoint.cc
@@ -18,7 +18,7 @@
   return inet_pton(AF_INET, host.c_str(), &address) == 1;
 }
 
-// A port from 1 to kMaxPort; nothing for any other text.
+// A port from 1 to kMaxPort, if `text` is one.
 std::optional<int> ParsePort(std::string_view text) {
   if (text.size() > kMaxPortDigits) return std::nullopt;
   int port = 0;
--- a/src/config/endpoint.h
+++ b/src/config/endpoint.h
@@ -1,4 +1,4 @@
-// Network addresses as they are written in settings files and in the reports of workers.
+// Network addresses in settings files and agent heartbeats.
 #ifndef TROUTLINK_CONFIG_ENDPOINT_H_
 #define TROUTLINK_CONFIG_ENDPOINT_H_
 
@@ -7,15 +7,14 @@
 
 namespace troutlink {
 
-// A TCP address to listen at or connect to.
+// TCP address to listen on or connect to.
 struct Endpoint {
   std::string host;  // IPv4, dotted decimal
   int port = 0;      // 1 to 65535
   std::string text;  // as written
 };
 
-// The address in a text of the form IPv4:port, with a decimal port of at most five digits;
-// nothing for any other text.
+// Parses IPv4:port, with a decimal port of at most five digits.
 [[nodiscard]] std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
 }  // namespace troutlink
--- a/src/config/json_reader.cc
+++ b/src/config/json_reader.cc
@@ -45,7 +45,7 @@
 
 double JsonObjectReader::Number(std::string_view key, NumberRange range) const {
   const Json& value = Get(key);
-  // Written so that a value that is not comparable is refused.
+  // Written so that NaN is refused.
   if (!value.is_number() ||
       !(value.get<double>() >= range.least && value.get<double>() <= range.most)) {
     FailField(key, "must be a number from " + std::to_string(range.least) + " to " +
--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -15,7 +15,7 @@
 namespace troutlink {
 namespace {
 
-// Keeps the first error of the text format's parser; places count from 1.
+// Keeps the first error of the text format parser. Lines and columns count from 1.
 class FirstErrorCollector : public google::protobuf::io::ErrorCollector {
  public:
   void AddError(int line, int column, const std::string& message) override {
@@ -29,7 +29,7 @@
   std::string text_;
 };
 
-// A field's value and the range that it must be in, both ends included.
+// Value of a field and its range, both ends included.
 struct CheckedField {
   const char* name;
   double value;
@@ -37,7 +37,7 @@
   double most;
 };
 
-// What is wrong with `field`; nothing when it is in its range.
+// Error text if `field` is out of its range.
 std::optional<std::string> RangeError(const CheckedField& field) {
   if (field.value >= field.least && field.value <= field.most) return std::nullopt;
   std::ostringstream text;
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -1,5 +1,5 @@
-// The operators' own settings: a file in protobuf text format. The schema with the meaning
-// and default of each field is operator.proto; docs/operating.md tells how to choose values.
+// Operator settings: a file in protobuf text format. operator.proto is the schema with the meaning
+// and default of each field; docs/operating.md explains how to choose values.
 #ifndef TROUTLINK_CONFIG_OPERATOR_SETTINGS_H_
 #define TROUTLINK_CONFIG_OPERATOR_SETTINGS_H_
 
@@ -11,9 +11,8 @@
 
 namespace troutlink {
 
-// The operators' settings in `text`, with defaults for the fields that it leaves out.
-// Errors: kSyntax with the line and column of the first one; kBadField with the name of the
-// first field out of its range, the range and the value.
+// Parses the operator settings in `text`; omitted fields get their defaults. Errors: kSyntax with
+// line and column; kBadField with the name, range and value of the first field out of its range.
 [[nodiscard]] Result<OperatorSettings, SettingsFault> ParseOperatorSettings(
     const std::string& text);
 
--- a/src/config/settings_fault.h
+++ b/src/config/settings_fault.h
@@ -1,4 +1,4 @@
-// The kinds of errors for which a settings file is refused.
+// Reasons for refusing a settings file.
 #ifndef TROUTLINK_CONFIG_SETTINGS_FAULT_H_
 #define TROUTLINK_CONFIG_SETTINGS_FAULT_H_
 
@@ -6,10 +6,10 @@
 
 namespace troutlink {
 
-// Why a settings file is refused; the text of the error names the place.
+// The error text names the place in the file.
 enum class SettingsFault : uint8_t {
-  kSyntax,    // not JSON, or not operators' settings in protobuf text format
-  kBadField,  // a field is missing or out of its range
+  kSyntax,    // not JSON, or not protobuf text format
+  kBadField,  // a field is missing or invalid
 };
 
 }  // namespace troutlink
--- a/src/daemon/log_setup.cc
+++ b/src/daemon/log_setup.cc
@@ -20,7 +20,7 @@
   spdlog::set_pattern("%H:%M:%S.%e %l %v");
   const char* level = std::getenv("LOG_LEVEL");
   spdlog::set_level(LogLevelOf(level == nullptr ? "info" : level));
-  // Every line is written at once: the process ends by being killed.
+  // Flush every line, as the process is ended by a signal.
   spdlog::flush_on(spdlog::level::debug);
 }
 
--- a/src/daemon/log_setup.h
+++ b/src/daemon/log_setup.h
@@ -1,4 +1,4 @@
-// The process's log: lines on stderr with time of day and level.
+// Log of the process: lines on stderr with time of day and level.
 #ifndef TROUTLINK_DAEMON_LOG_SETUP_H_
 #define TROUTLINK_DAEMON_LOG_SETUP_H_
 
@@ -8,11 +8,11 @@
 
 namespace troutlink::daemon {
 
-// The level of a value of LOG_LEVEL: `error`, `debug`, and `info` for `info` and anything else.
+// Level for a value of LOG_LEVEL: `error` or `debug`; `info` for anything else.
 [[nodiscard]] spdlog::level::level_enum LogLevelOf(std::string_view name);
 
-// Makes the default logger write to stderr from the level that the environment variable
-// LOG_LEVEL names. To be called once, before anything is logged or another thread started.
+// Makes the default logger write to stderr at the level in the environment variable LOG_LEVEL. Call
+// once, before logging and before starting threads.
 void SetUpLog();
 
 }  // namespace troutlink::daemon
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -1,6 +1,6 @@
-// The command line of the controller: `serve` runs it, `check` only reads both settings files.
-// Exit codes: 0 when the files are good, 1 when it cannot listen, 2 when the settings are
-// refused, and those of CLI11 for a wrong command line.
+// Command line of the controller: `serve` runs it, `check` only reads both settings files. Exit
+// codes: 0 if the files are valid, 1 if it cannot listen, 2 if the settings are invalid, and those
+// of CLI11 for an invalid command line.
 #include <CLI/CLI.hpp>
 #include <iostream>
 #include <utility>
--- a/src/daemon/settings_files.h
+++ b/src/daemon/settings_files.h
@@ -1,4 +1,4 @@
-// Reads the two settings files that the command line names.
+// Reads the two settings files named on the command line.
 #ifndef TROUTLINK_DAEMON_SETTINGS_FILES_H_
 #define TROUTLINK_DAEMON_SETTINGS_FILES_H_
 
@@ -10,21 +10,21 @@
 
 namespace troutlink::daemon {
 
-// Where the settings are. Paths are relative to the working directory.
+// Paths relative to the working directory.
 struct SettingsPaths {
   std::string platform;   // JSON
-  std::string operators;  // protobuf text format; empty for the defaults
+  std::string operators;  // protobuf text format; empty: defaults
 };
 
-// Why the settings cannot be used.
+// Reason for failure.
 enum class SettingsFileError {
   kUnreadable,  // a file cannot be read
-  kInvalid,     // a file's content is refused
+  kInvalid,     // the content of a file is invalid
 };
-// The error's name in logs and test messages.
+// Name of the error for logs and test messages.
 [[nodiscard]] std::string_view NameOf(SettingsFileError error);
 
-// The settings of both files, checked; the first fault otherwise, its text naming the file.
+// Reads and checks both files. The text of an error names the file.
 [[nodiscard]] Result<Settings, SettingsFileError> LoadSettings(const SettingsPaths& paths);
 
 }  // namespace troutlink::daemon
--- a/src/http/message.cc
+++ b/src/http/message.cc
@@ -17,21 +17,21 @@
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kVersion10 = "HTTP/1.0";
 constexpr std::string_view kVersion11 = "HTTP/1.1";
-// Statuses with which a message can be refused.
+// Statuses for refused messages.
 constexpr int kBadRequest = 400;
 constexpr int kContentTooLarge = 413;
 constexpr int kHeadTooLarge = 431;
 constexpr int kNotImplemented = 501;
 constexpr int kVersionNotSupported = 505;
-// The longest decimal number that is read: it fits 32 bits.
+// Maximum number of decimal digits; fits 32 bits.
 constexpr size_t kMaxNumberDigits = 9;
-// The longest size of a chunk: it fits 32 bits.
+// Maximum number of hexadecimal digits of a chunk size; fits 32 bits.
 constexpr size_t kMaxChunkSizeDigits = 7;
-// The longest line with the size of a chunk, extensions included.
+// Maximum length of a chunk size line with its extensions.
 constexpr size_t kMaxChunkLine = 64;
 constexpr size_t kDecimal = 10;
 constexpr int kHexadecimal = 16;
-// Reserved for the head of a message that is written.
+// Reserved for the head of a written message.
 constexpr size_t kUsualHead = 128;
 
 bool EqualsIgnoringCase(std::string_view left, std::string_view right) {
@@ -48,7 +48,7 @@
   return text.substr(first, text.find_last_not_of(kBlanks) - first + 1);
 }
 
-// Whether `text` is a token of RFC 9110: a method or the name of a field.
+// Whether `text` is a token (RFC 9110): a method or field name.
 bool IsToken(std::string_view text) {
   constexpr std::string_view kPunctuation = "!#$%&'*+-.^_`|~";
   return !text.empty() && std::ranges::all_of(text, [&](char letter) {
@@ -57,13 +57,13 @@
   });
 }
 
-// Whether `target` is a path with a query, in visible ASCII only.
+// Whether `target` is a path with an optional query, in visible ASCII only.
 bool IsTarget(std::string_view target) {
   return target.starts_with('/') &&
          std::ranges::all_of(target, [](char letter) { return letter > ' ' && letter < '\x7f'; });
 }
 
-// Decimal digits only, at most nine of them: no sign, no overflow.
+// Parses at most nine decimal digits: no sign, no overflow.
 std::optional<size_t> ParseNumber(std::string_view text) {
   if (text.empty() || text.size() > kMaxNumberDigits) return std::nullopt;
   size_t number = 0;
@@ -74,7 +74,7 @@
   return number;
 }
 
-// The size in the line before a chunk: hexadecimal digits, up to the end or an extension.
+// Parses the hexadecimal chunk size, up to the end of the line or an extension.
 std::optional<size_t> ParseChunkSize(std::string_view line) {
   const std::string_view digits = line.substr(0, line.find(';'));
   if (digits.empty() || digits.size() > kMaxChunkSizeDigits) return std::nullopt;
@@ -90,7 +90,7 @@
   std::string_view phrase;
 };
 
-// The statuses that this program and its clients send.
+// Reason phrases of the statuses used by this program.
 constexpr auto kReasonPhrases =
     std::to_array<StatusPhrase>({{200, "OK"},
                                  {201, "Created"},
@@ -157,7 +157,7 @@
   if (EqualsIgnoringCase(name, "content-length")) {
     const std::optional<size_t> length = ParseNumber(value);
     if (!length) return Refuse(kBadRequest);
-    // Two differing lengths are how requests get smuggled past a proxy.
+    // Conflicting lengths allow request smuggling.
     if (content_length_ && *content_length_ != *length) return Refuse(kBadRequest);
     content_length_ = length;
   } else if (EqualsIgnoringCase(name, "transfer-encoding")) {
@@ -167,7 +167,7 @@
     if (EqualsIgnoringCase(value, "close")) head_.close = true;
     if (EqualsIgnoringCase(value, "keep-alive")) head_.close = false;
   } else if (EqualsIgnoringCase(name, "retry-after")) {
-    // A date, the other form of this field, is ignored.
+    // The other form of this field, a date, is ignored.
     if (const std::optional<size_t> seconds = ParseNumber(value)) {
       head_.retry_after_s = static_cast<int>(*seconds);
     }
--- a/src/mesh/codec.h
+++ b/src/mesh/codec.h
@@ -1,8 +1,8 @@
-// The binary form of the messages between controllers.
+// Binary encoding of the messages between controllers.
 //
-// A frame is varint(length) and that many bytes, its content: varint(kind), then the
-// message's fields in the order of their declaration. Integers are varints (varint.h), texts
-// and lists are preceded by their length. Unknown kinds are skipped by receivers.
+// A frame is varint(length) followed by that many bytes of content: varint(kind), then the
+// message's fields in declaration order. Integers are varints (varint.h); strings and lists are
+// preceded by their length. Receivers skip unknown kinds.
 #ifndef TROUTLINK_MESH_CODEC_H_
 #define TROUTLINK_MESH_CODEC_H_
 
@@ -16,11 +16,10 @@
 
 namespace troutlink::mesh {
 
-// `message` as one frame, its length included.
+// Encodes `message` as one frame, including its length.
 [[nodiscard]] std::string Encode(const Message& message);
-// The message in the content of a frame (without its length); nothing when the content
-// is malformed or of an unknown kind. Receivers skip both, so they are not told apart.
-// Bytes after the last field are ignored.
+// Decodes the content of a frame (without its length). Returns nothing if it is malformed or of an
+// unknown kind; receivers skip both. Bytes after the last field are ignored.
 [[nodiscard]] std::optional<Message> Decode(std::string_view content);
 
 }  // namespace troutlink::mesh
--- a/src/mesh/framer.cc
+++ b/src/mesh/framer.cc
@@ -13,7 +13,7 @@
   std::string_view rest = buffer_;
   uint64_t length = 0;
   if (!GetVarint(&rest, &length)) {
-    // Either the length has not come whole yet or it is no varint.
+    // The length is either incomplete or not a varint.
     *bad = buffer_.size() >= kMaxVarintBytes;
     return false;
   }
--- a/src/mesh/varint.h
+++ b/src/mesh/varint.h
@@ -1,5 +1,5 @@
-// Unsigned LEB128 integers (varints): seven bits a byte, the least significant first; the
-// eighth bit says whether more bytes follow.
+// Unsigned LEB128 integers (varints): seven bits per byte, least significant first, with a
+// continuation bit.
 #ifndef TROUTLINK_MESH_VARINT_H_
 #define TROUTLINK_MESH_VARINT_H_
 
@@ -9,13 +9,13 @@
 
 namespace troutlink::mesh {
 
-// The most bytes that a varint of 64 bits takes.
+// Maximum length of a 64-bit varint in bytes.
 inline constexpr size_t kMaxVarintBytes = 10;
 
-// Appends `value` to `out` as a varint.
+// Appends `value` to `out`.
 void PutVarint(std::string* out, uint64_t value);
-// Reads a varint from the front of `in` and advances it; false when it ends early or
-// does not fit 64 bits.
+// Reads a varint from the front of `in` and advances it. Returns false if it ends early or exceeds
+// 64 bits.
 bool GetVarint(std::string_view* in, uint64_t* value);
 
 }  // namespace troutlink::mesh
--- a/src/runtime/clock.h
+++ b/src/runtime/clock.h
@@ -1,4 +1,4 @@
-// The clocks that a process reads and passes to the core, which reads none by itself.
+// Clocks of the process, whose times are passed to the core.
 #ifndef TROUTLINK_RUNTIME_CLOCK_H_
 #define TROUTLINK_RUNTIME_CLOCK_H_
 
@@ -6,11 +6,10 @@
 
 namespace troutlink::runtime {
 
-// Time of the machine's steady clock, which is never set. Its origin is arbitrary: compare it
-// only with times of the same machine.
+// Monotonic time. The origin is arbitrary: compare only with times of the same machine.
 [[nodiscard]] Micros SteadyNow();
 
-// Time since 1970, which may be set forwards or backwards.
+// Time since 1970; may be set forwards or backwards.
 [[nodiscard]] Micros WallNow();
 
 }  // namespace troutlink::runtime
--- a/src/runtime/http_client.cc
+++ b/src/runtime/http_client.cc
@@ -10,7 +10,7 @@
 namespace troutlink::runtime {
 
 namespace {
-// Calls that may wait for a connection to one endpoint; the oldest beyond it are given up.
+// Maximum number of calls that wait for a connection to one endpoint; older ones fail.
 constexpr size_t kMaxQueuedCalls = 256;
 }  // namespace
 
@@ -26,7 +26,7 @@
   while (!pool.queue.empty()) {
     HttpClientConnection* connection = FindIdle(pool);
     if (connection == nullptr) connection = Open(pool);
-    if (connection == nullptr) return;  // Tick() tries again, or ends what waited too long
+    if (connection == nullptr) return;  // Tick() tries again, or ends calls that timed out
     const QueuedCall next = std::move(pool.queue.front());
     pool.queue.pop_front();
     RemoveFromIdle(connections_.at(connection));
@@ -77,8 +77,7 @@
   } else {
     Close(connection);
   }
-  // Nothing of the connection may be used from here: the receiver may send calls, for which
-  // it is taken or closed.
+  // The receiver may send calls, which may reuse or close the connection: do not use it any more.
   if (had_call) on_result_({call_id, outcome.status, std::move(outcome.body)});
   SendQueued(pool);
 }
@@ -126,7 +125,7 @@
   for (HttpClientConnection* connection : overdue) {
     const auto found = connections_.find(connection);
     if (found == connections_.end()) continue;
-    // Idle connections to a host that does not answer are most likely as dead.
+    // After a timeout, idle connections to the same host are probably dead too.
     const Pool& pool = *found->second.pool;
     while (HttpClientConnection* idle = FindIdle(pool)) Close(*idle);
     const bool connecting = connection->state() == HttpClientConnection::State::kConnecting;
--- a/src/runtime/http_client.h
+++ b/src/runtime/http_client.h
@@ -1,4 +1,4 @@
-// HTTP client with a connection pool for each endpoint.
+// HTTP client with a connection pool per endpoint.
 #ifndef TROUTLINK_RUNTIME_HTTP_CLIENT_H_
 #define TROUTLINK_RUNTIME_HTTP_CLIENT_H_
 
@@ -24,44 +24,44 @@
 
 namespace troutlink::runtime {
 
-// How a call ended. A call has exactly one result.
+// Result of a call; each call has exactly one.
 struct CallResult {
   uint64_t call_id = 0;
   int status = kNoAnswer;  // an HTTP status, kNoAnswer or kNotSent
   std::string body;        // empty without an answer
 };
 
-// How connections to an endpoint are opened.
+// How connections to an endpoint are pooled.
 struct PoolOptions {
-  // Connections that are open to the endpoint at a time.
+  // Maximum number of open connections to the endpoint.
   int max_connections = 1;
-  // Whether they count towards the client's limit over all endpoints. Those to the services
-  // that a controller cannot work without do not, so that they need not wait for any other.
+  // Whether they count towards the client's limit over all endpoints. Those to essential services
+  // do not, so that they never wait for others.
   bool shares_limit = true;
 };
 
-// Sends calls and reports the result of each exactly once. A call that finds no free
-// connection is queued. To be used on the loop's thread.
+// Sends calls and reports the result of each exactly once. A call without a free connection is
+// queued. Use on the loop's thread only.
 class HttpClient final : private HttpClientConnection::Owner {
  public:
-  // Receives each result: from the loop or from Tick(), never from within Send(). May call
+  // Receives each result, from the loop or from Tick() but never from within Send(). May call
   // Send().
   using OnResult = std::function<void(CallResult result)>;
 
-  // Opens at most `max_connections` connections that share the limit over all endpoints. When
-  // that many are open, the one that has been idle for longest is closed for a new one; calls
-  // wait while none is idle.
+  // Opens at most `max_connections` connections that share the limit over all endpoints. At the
+  // limit, the connection that has been idle longest is closed for a new one; calls wait while none
+  // is idle.
   HttpClient(ev::loop_ref loop, size_t max_connections, OnResult on_result)
       : loop_(loop), max_connections_(max_connections), on_result_(std::move(on_result)) {}
   ~HttpClient() override = default;
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // Sends `call` to `endpoint` as soon as the pool has a free connection. The call's timeout
-  // runs from now, the wait included.
+  // Sends `call` to `endpoint` as soon as the pool has a free connection. The timeout starts now
+  // and includes the wait.
   void Send(const Endpoint& endpoint, const PoolOptions& options, const Call& call);
-  // Ends the calls whose time is over and closes connections that idled too long; to be
-  // called a few times a second.
+  // Ends calls that timed out and closes connections that idled too long. Call a few times a
+  // second.
   void Tick(Micros now);
   // Open connections of all pools.
   [[nodiscard]] size_t connections() const { return connections_.size(); }
@@ -73,7 +73,7 @@
     Call call;
     Micros deadline = 0;
   };
-  // The connections to one endpoint and the calls that wait for one of them.
+  // Connections to one endpoint, and the calls that wait for one.
   struct Pool {
     Endpoint endpoint;
     PoolOptions options;
@@ -83,17 +83,17 @@
   // A connection and its place in the client.
   struct Entry {
     std::unique_ptr<HttpClientConnection> connection;
-    Pool* pool = nullptr;  // exists for as long as it has connections
+    Pool* pool = nullptr;  // exists as long as it has connections
     bool shares_limit = true;
     std::optional<IdleList::iterator> idle_position;  // in `idle_`
   };
 
   void OnOutcome(HttpClientConnection& connection, HttpClientConnection::Outcome outcome) override;
-  // Sends queued calls of `pool` over free connections, and opens new ones within the limits.
+  // Sends queued calls over free connections, and opens new ones within the limits.
   void SendQueued(Pool& pool);
-  // A free connection of `pool`; null when there is none.
+  // A free connection of `pool`, or null.
   [[nodiscard]] static HttpClientConnection* FindIdle(const Pool& pool);
-  // A new connection of `pool`; null when a limit or a failure prevents it.
+  // A new connection of `pool`; null if a limit or an error prevents it.
   [[nodiscard]] HttpClientConnection* Open(Pool& pool);
   void Close(HttpClientConnection& connection);
   void RemoveFromIdle(Entry& entry);
@@ -107,7 +107,7 @@
   std::map<std::string, Pool> pools_;  // by the endpoint's text
   std::unordered_map<HttpClientConnection*, Entry> connections_;
   size_t sharing_ = 0;  // connections that share the limit
-  IdleList idle_;       // those of them that are idle, the longest idle first
+  IdleList idle_;       // of these, the idle ones, longest idle first
 };
 
 }  // namespace troutlink::runtime
--- a/src/runtime/http_client_connection.cc
+++ b/src/runtime/http_client_connection.cc
@@ -12,7 +12,7 @@
 namespace {
 constexpr Micros kConnectTimeout = kSecond;
 constexpr Micros kIdleTimeout = 30 * kSecond;
-// The longest head and body of an answer, in bytes.
+// Maximum size of an answer's head and body in bytes.
 constexpr http::Limits kAnswerLimits{size_t{16} * 1024, size_t{64} * 1024 * 1024};
 }  // namespace
 
@@ -49,7 +49,7 @@
 void HttpClientConnection::Release(Micros now) {
   state_ = State::kIdle;
   idle_since_ = now;
-  // Readable while idle means that the peer has closed the connection.
+  // Readable while idle: the peer has closed the connection.
   watcher_.set(socket_.get(), ev::READ);
 }
 
@@ -88,7 +88,7 @@
   std::array<char, kReadBytes> buffer;  // NOLINT(*-member-init): filled by Receive()
   const Result<size_t, SocketError> count = Receive(socket_.get(), buffer);
   if (!count && count.error().code == SocketError::kWouldBlock) return;
-  // Nothing is to come while no call is being made.
+  // Unexpected data without a call.
   if (!count || state_ == State::kIdle) {
     Fail(kNoAnswer);
     return;
--- a/src/runtime/http_client_connection.h
+++ b/src/runtime/http_client_connection.h
@@ -1,4 +1,4 @@
-// One outgoing HTTP connection: the socket, its watcher and the call that it carries.
+// One outgoing HTTP connection: its socket, watcher and current call.
 #ifndef TROUTLINK_RUNTIME_HTTP_CLIENT_CONNECTION_H_
 #define TROUTLINK_RUNTIME_HTTP_CLIENT_CONNECTION_H_
 
@@ -16,55 +16,55 @@
 
 namespace troutlink::runtime {
 
-// Carries one call at a time. It is created for a call, which Send() gives it at once, and
-// may carry others after it. To be used on the loop's thread.
+// Carries one call at a time. It is created for a call, and may carry others after it. Use on the
+// loop's thread only.
 class HttpClientConnection {
  public:
-  // What it is occupied with.
+  // State of the connection.
   enum class State {
-    kConnecting,  // its first call waits until the connection is open
-    kBusy,        // the call is being sent or its answer awaited
+    kConnecting,  // waits for the connection to open before its first call
+    kBusy,        // sending the call or awaiting its answer
     kIdle,        // ready for another call
   };
 
-  // How a call, or an idle connection, ended.
+  // How a call or an idle connection ended.
   struct Outcome {
     int status = kNoAnswer;  // an HTTP status, kNoAnswer or kNotSent
     std::string body;
     bool reusable = false;  // whether the connection can carry another call
   };
 
-  // Is told what happens on its connections.
+  // Receives the events of its connections.
   class Owner {
    public:
     virtual ~Owner() = default;
-    // The call of `connection` ended or, if it was idle, the connection itself. Must call
-    // Release() on a connection that can be reused and destroy any other.
+    // The call of `connection`, or the connection itself if it was idle, has ended. Must call
+    // Release() on a reusable connection and destroy any other.
     virtual void OnOutcome(HttpClientConnection& connection, Outcome outcome) = 0;
   };
 
-  // Takes a socket that is connecting to `host`. `owner` must outlive it.
+  // Takes a socket that is connecting to `host`. `owner` must outlive the connection.
   HttpClientConnection(ev::loop_ref loop, UniqueFd socket, std::string_view host, Owner& owner);
   ~HttpClientConnection() = default;
   HttpClientConnection(const HttpClientConnection&) = delete;
   HttpClientConnection& operator=(const HttpClientConnection&) = delete;
 
-  // Sends `call`, to be answered until `deadline`; requires that it carries none.
+  // Sends `call` with the given `deadline`. Requires that no call is in progress.
   void Send(const Call& call, Micros deadline);
-  // Ends the present call and makes the connection idle as of `now`. Only for the owner, after
-  // an outcome that lets it be reused.
+  // Ends the current call and makes the connection idle. Only for the owner, after a reusable
+  // outcome.
   void Release(Micros now);
 
   [[nodiscard]] State state() const { return state_; }
-  // The id of the present call, or of the last one.
+  // Id of the current or last call.
   [[nodiscard]] uint64_t call_id() const { return call_id_; }
-  // Whether its call has run out of time, or connecting has.
+  // Whether the call, or connecting, has timed out.
   [[nodiscard]] bool IsOverdue(Micros now) const;
-  // Whether it has been idle for so long that it is to be closed.
+  // Whether it has been idle for too long.
   [[nodiscard]] bool IsExpired(Micros now) const;
 
  private:
-  // These may end with a call of the owner, which may destroy the connection.
+  // These may end in a callback that destroys the connection.
   void OnReady(ev::io& watcher, int events);
   void FinishConnecting();
   void Read(bool writable);
@@ -81,10 +81,10 @@
   WriteBuffer output_;
   http::Parser parser_;
   UniqueFd socket_;
-  ev::io watcher_;  // after `socket_`: stopped before it is closed
+  ev::io watcher_;  // declared after `socket_`: stopped before it is closed
 };
 
-// The state's name in logs and test messages.
+// Name of the state for logs and test messages.
 [[nodiscard]] std::string_view NameOf(HttpClientConnection::State state);
 
 }  // namespace troutlink::runtime
--- a/src/runtime/http_server.cc
+++ b/src/runtime/http_server.cc
@@ -10,10 +10,10 @@
 namespace troutlink::runtime {
 
 namespace {
-// A connection that has been idle for less is spared: a request may be on its way.
+// Connections idle for less are kept, as a request may be on its way.
 constexpr Micros kMinIdleToClose = 500 * kMillisecond;
 constexpr int kMaxAcceptsAtOnce = 32;
-// The server is crowded when more of its connections than this are taken.
+// Above this share of used connections the server counts as crowded.
 constexpr size_t kCrowdedPercent = 90;
 constexpr int kStatusUnavailable = 503;
 constexpr int kRefusalRetryAfterSeconds = 1;
@@ -28,8 +28,8 @@
 
 void HttpServer::OnConnection(UniqueFd socket) {
   if (connections_.size() >= max_connections_ && !CloseLongestIdle()) {
-    // Refused at once rather than left to wait for a socket. If the refusal cannot be sent,
-    // the client sees that the connection is closed.
+    // Refuse at once rather than wait for a free connection. If the reply cannot be sent, the
+    // client sees the connection close.
     (void)runtime::Send(
         socket.get(), http::WriteResponse(kStatusUnavailable, "", true, kRefusalRetryAfterSeconds));
     return;
@@ -54,8 +54,8 @@
   HttpServerConnection& connection = *found->second;
   requests_.erase(found);
   connections_.at(&connection).request_id = 0;
-  // With nearly all connections taken each reply ends its own, so that every client gets its
-  // turn: one controller may be left with all workers there are.
+  // When crowded, each reply closes its connection, so that all clients get a turn: one controller
+  // may have to serve all agents.
   connection.Respond(reply, IsCrowded());
 }
 
--- a/src/runtime/http_server.h
+++ b/src/runtime/http_server.h
@@ -22,28 +22,27 @@
 
 namespace troutlink::runtime {
 
-// Accepts requests, gives each an id and sends the reply with that id. To be used on the
-// loop's thread.
+// Accepts requests, assigns ids, and sends the replies. Use on the loop's thread only.
 class HttpServer final : private HttpServerConnection::Owner {
  public:
-  // Receives each request. May call Send() at once; the reply may also be sent later.
+  // Receives each request. May call Send() at once or later.
   using RequestHandler = std::function<void(Request request)>;
 
-  // Keeps at most `max_connections` connections. Beyond them, the one that has been idle for
-  // longest is closed for a new one; when none is idle the new one is refused with status 503.
+  // Keeps at most `max_connections` connections. At the limit, the one that has been idle longest
+  // is closed for a new one; if none is idle, the new one is refused with status 503.
   HttpServer(ev::loop_ref loop, size_t max_connections, RequestHandler on_request);
   ~HttpServer() override = default;
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Starts to accept connections; the address listened at, with the port that was chosen for
-  // port 0. To be called once.
+  // Starts to accept connections and returns the address, with the chosen port if it was 0. Call
+  // once.
   [[nodiscard]] Result<Endpoint, SocketError> Open(const Endpoint& address) {
     return listener_.Open(address);
   }
-  // Sends the reply to the request with its id; ignores it when the connection is gone.
+  // Sends the reply to the request with its id. Ignored if the connection has ended.
   void Send(const Reply& reply);
-  // Closes connections that stalled or idled too long; to be called a few times a second.
+  // Closes connections that stalled or idled too long. Call a few times a second.
   void Tick(Micros now);
   // Open connections.
   [[nodiscard]] size_t connections() const { return connections_.size(); }
@@ -54,7 +53,7 @@
   // A connection and its place in the server.
   struct Entry {
     std::unique_ptr<HttpServerConnection> connection;
-    uint64_t request_id = 0;                          // being answered; 0 for none
+    uint64_t request_id = 0;                          // request in progress; 0: none
     std::optional<IdleList::iterator> idle_position;  // in `idle_`
   };
 
@@ -64,9 +63,9 @@
   void OnActive(HttpServerConnection& connection) override;
   void OnClosed(HttpServerConnection& connection) override;
   void RemoveFromIdle(Entry& entry);
-  // Closes the connection that has been idle for longest; false when none may be closed.
+  // Closes the connection that has been idle longest. Returns false if none may be closed.
   [[nodiscard]] bool CloseLongestIdle();
-  // Whether nearly all connections are taken.
+  // Whether nearly all connections are in use.
   [[nodiscard]] bool IsCrowded() const;
 
   ev::loop_ref loop_;
@@ -74,8 +73,9 @@
   RequestHandler on_request_;
   uint64_t next_request_id_ = 1;
   std::unordered_map<HttpServerConnection*, Entry> connections_;
-  std::unordered_map<uint64_t, HttpServerConnection*> requests_;  // those being answered, by id
-  IdleList idle_;  // connections between two requests, the longest idle first
+  std::unordered_map<uint64_t, HttpServerConnection*>
+      requests_;   // with a request in progress, by its id
+  IdleList idle_;  // connections between requests, longest idle first
   Listener listener_;
 };
 
--- a/src/runtime/http_server_connection.cc
+++ b/src/runtime/http_server_connection.cc
@@ -10,9 +10,9 @@
 namespace troutlink::runtime {
 
 namespace {
-constexpr Micros kStallTimeout = 10 * kSecond;  // in the middle of a request or a reply
+constexpr Micros kStallTimeout = 10 * kSecond;  // within a request or reply
 constexpr Micros kIdleTimeout = 90 * kSecond;   // between requests
-// The longest head and body of a request, in bytes.
+// Maximum size of a request's head and body in bytes.
 constexpr http::Limits kRequestLimits{size_t{8} * 1024, size_t{64} * 1024};
 }  // namespace
 
@@ -44,7 +44,7 @@
   int events = 0;
   if (!answering_ && !close_after_reply_) events |= ev::READ;
   if (!output_.empty()) events |= ev::WRITE;
-  // While a request is being answered, it still has to be seen when the client hangs up.
+  // During a request, watch for the client closing the connection.
   if (events == 0) events = ev::READ;
   watcher_.set(socket_.get(), events);
 }
@@ -65,8 +65,8 @@
   std::array<char, kReadBytes> buffer;  // NOLINT(*-member-init): filled by Receive()
   const Result<size_t, SocketError> count = Receive(socket_.get(), buffer);
   if (!count && count.error().code == SocketError::kWouldBlock) return;
-  // What comes while a request is being answered is a client that hangs up or one that
-  // pipelines, which none of ours does.
+  // During a request this is a client that closes the connection or pipelines, which is not
+  // supported.
   if (!count || answering_) {
     owner_.OnClosed(*this);
     return;
--- a/src/runtime/incoming_peer_connection.cc
+++ b/src/runtime/incoming_peer_connection.cc
@@ -35,7 +35,7 @@
       peer_label_ = frame;
       continue;
     }
-    // Messages of a kind that this version does not know are skipped.
+    // Skip message kinds that this version does not know.
     if (const std::optional<mesh::Message> message = mesh::Decode(frame)) {
       owner_.OnMessage(peer_label_, *message);
     }
--- a/src/runtime/incoming_peer_connection.h
+++ b/src/runtime/incoming_peer_connection.h
@@ -1,4 +1,4 @@
-// The connection on which a controller receives messages from one peer.
+// Connection on which a controller receives messages from one peer.
 #ifndef TROUTLINK_RUNTIME_INCOMING_PEER_CONNECTION_H_
 #define TROUTLINK_RUNTIME_INCOMING_PEER_CONNECTION_H_
 
@@ -11,19 +11,19 @@
 
 namespace troutlink::runtime {
 
-// Reads messages from an accepted connection. The first frame is the sender's label; nothing
-// is ever sent back. To be used on the loop's thread.
+// Reads messages from an accepted connection. The first frame is the sender's label; nothing is
+// sent back. Use on the loop's thread only.
 class IncomingPeerConnection {
  public:
-  // Is told what happens on its connections.
+  // Receives the events of its connections.
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Whether `label` is that of a peer. A connection with another label is closed.
+    // Whether `label` is that of a peer; otherwise the connection is closed.
     [[nodiscard]] virtual bool IsPeer(const std::string& label) const = 0;
     // The peer `from` has sent `message`. Must not destroy the connection.
     virtual void OnMessage(const std::string& from, const mesh::Message& message) = 0;
-    // `connection` has ended or is malformed. Must destroy it.
+    // The connection has ended or is malformed. Must destroy it.
     virtual void OnClosed(IncomingPeerConnection& connection) = 0;
   };
 
@@ -34,18 +34,18 @@
   IncomingPeerConnection& operator=(const IncomingPeerConnection&) = delete;
 
  private:
-  // Whether the connection may be read on.
+  // Reads available bytes. Returns whether the connection can be read further.
   enum class Verdict { kGood, kBad };
 
   void OnReadable(ev::io& watcher, int events);
-  // Hands over the whole frames that have arrived.
+  // Delivers all complete frames.
   [[nodiscard]] Verdict HandleFrames();
 
   Owner& owner_;
-  std::string peer_label_;  // empty until the first frame
+  std::string peer_label_;  // empty before the first frame
   mesh::Framer framer_;
   UniqueFd socket_;
-  ev::io watcher_;  // after `socket_`: stopped before it is closed
+  ev::io watcher_;  // declared after `socket_`: stopped before it is closed
 };
 
 }  // namespace troutlink::runtime
--- a/src/runtime/listener.h
+++ b/src/runtime/listener.h
@@ -13,17 +13,17 @@
 
 namespace troutlink::runtime {
 
-// Listens at one address and hands over each connection. To be used on the loop's thread.
+// Listens on one address and hands over each connection. Use on the loop's thread only.
 class Listener {
  public:
   // Receives each accepted connection; may close it at once. Must not destroy the listener.
   using OnConnection = std::function<void(UniqueFd connection)>;
 
-  // Accepts at most `max_accepts` connections before the loop turns to other events.
+  // Accepts at most `max_accepts` connections per loop iteration.
   Listener(ev::loop_ref loop, int max_accepts, OnConnection on_connection);
 
-  // Starts to accept connections; the address listened at, with the port that was chosen for
-  // port 0. To be called once.
+  // Starts to accept connections and returns the address, with the chosen port if it was 0. Call
+  // once.
   [[nodiscard]] Result<Endpoint, SocketError> Open(const Endpoint& address);
 
  private:
@@ -32,7 +32,7 @@
   int max_accepts_;
   OnConnection on_connection_;
   UniqueFd socket_;
-  ev::io watcher_;  // after `socket_`: stopped before it is closed
+  ev::io watcher_;  // declared after `socket_`: stopped before it is closed
 };
 
 }  // namespace troutlink::runtime
--- a/src/runtime/node.cc
+++ b/src/runtime/node.cc
@@ -20,21 +20,20 @@
 namespace troutlink::runtime {
 namespace {
 
-// Seconds from one tick of the core and the connections to the next.
+// Interval in seconds of the ticks of the core and the connections.
 constexpr double kTickInterval = 0.05;
 constexpr int kExitCannotListen = 1;
 
-// A number that tells this run of the controller from every other.
+// Random number that identifies this incarnation of the process.
 uint64_t DrawBootId() {
   constexpr int kHalfBits = 32;
   std::random_device device;
   const uint64_t boot_id = (static_cast<uint64_t>(device()) << kHalfBits) | device();
-  // Below 2^63: it is stored as an integer that every reader can hold.
+  // Below 2^63: stored as an integer that every reader supports.
   return (boot_id ^ static_cast<uint64_t>(SteadyNow())) >> 1;
 }
 
-// The event loop of a controller: hands each event to the core and what the core returns to
-// the dispatcher.
+// Event loop of a controller: passes events to the core, and the core's output to the dispatcher.
 class Node {
  public:
   explicit Node(const Settings& settings)
@@ -57,7 +56,7 @@
     before_waiting_.set<Node, &Node::OnBeforeWaiting>(this);
   }
 
-  // Serves until the process is killed; an exit code if it cannot listen.
+  // Serves until the process is killed. Returns an exit code if it cannot listen.
   [[nodiscard]] int Run() {
     core_.SetDetailedLog(spdlog::should_log(spdlog::level::debug));
     if (!CheckListening(server_.Open(settings_.serve), settings_.serve) ||
@@ -72,7 +71,7 @@
   }
 
  private:
-  // Logs why it does not listen at `address`, if so.
+  // Logs why it cannot listen on `address`, if so.
   [[nodiscard]] static bool CheckListening(const Result<Endpoint, SocketError>& opened,
                                            const Endpoint& address) {
     if (!opened) spdlog::error("cannot listen on {}: {}", address.text, opened.error().text);
@@ -87,8 +86,8 @@
     dispatcher_.Dispatch(core_.Tick(now, WallNow()));
   }
 
-  // Runs before the loop waits for events. Results are handed to the core only here: some
-  // come up while the core's last outbox is being sent, and must not reach it out of order.
+  // Runs before the loop waits for events. Results are delivered to the core only here, as some
+  // arise while the core's last output is being sent.
   void OnBeforeWaiting(ev::prepare& /*watcher*/, int /*events*/) {
     while (!results_.empty()) {
       const CallResult result = std::move(results_.front());
@@ -113,7 +112,7 @@
   HttpClient client_;
   PeerTransport peers_;
   OutboxDispatcher dispatcher_;
-  std::deque<CallResult> results_;  // not yet handed to the core, in order of arrival
+  std::deque<CallResult> results_;  // not delivered to the core yet, in order of arrival
   ev::timer tick_timer_;
   ev::prepare before_waiting_;
 };
--- a/src/runtime/node.h
+++ b/src/runtime/node.h
@@ -1,5 +1,4 @@
-// One controller process: connects the core to sockets, clocks and the log. The core decides
-// and returns what to send; the node sends it and passes on what arrives.
+// A controller process: connects the core to sockets, clocks and the log.
 #ifndef TROUTLINK_RUNTIME_NODE_H_
 #define TROUTLINK_RUNTIME_NODE_H_
 
@@ -7,9 +6,8 @@
 
 namespace troutlink::runtime {
 
-// Runs a controller on the calling thread until the process is killed. Returns only when it
-// cannot listen at an address of `settings`: the exit code of the process, with the reason in
-// the log.
+// Runs a controller on the calling thread until the process is killed. Returns an exit code only if
+// it cannot listen on an address of `settings`; the log has the reason.
 [[nodiscard]] int RunNode(const Settings& settings);
 
 }  // namespace troutlink::runtime
--- a/src/runtime/outbox_dispatcher.h
+++ b/src/runtime/outbox_dispatcher.h
@@ -1,4 +1,4 @@
-// Carries out what the core has decided: writes its log, sends its calls, messages and replies.
+// Sends the core's output: log lines, calls, messages and replies.
 #ifndef TROUTLINK_RUNTIME_OUTBOX_DISPATCHER_H_
 #define TROUTLINK_RUNTIME_OUTBOX_DISPATCHER_H_
 
@@ -12,11 +12,11 @@
 
 namespace troutlink::runtime {
 
-// Sends each item of an Outbox where it belongs. To be used on the loop's thread.
+// Dispatches each item of an Outbox to its destination. Use on the loop's thread only.
 class OutboxDispatcher {
  public:
-  // Sends over `server`, `client` and `peers`, which must outlive it, as must `settings`.
-  // `on_result` receives the results of calls that cannot even be handed to the client.
+  // Sends over `server`, `client` and `peers`, which must outlive the dispatcher, as must
+  // `settings`. `on_result` receives the results of calls that cannot be passed to the client.
   OutboxDispatcher(const Settings& settings, HttpServer& server, HttpClient& client,
                    PeerTransport& peers, HttpClient::OnResult on_result)
       : settings_(settings),
@@ -25,8 +25,7 @@
         peers_(peers),
         on_result_(std::move(on_result)) {}
 
-  // Writes the log lines, then sends the calls, the messages to peers and the replies, each in
-  // the order of `outbox`.
+  // Writes the log lines, then sends the calls, the peer messages and the replies, each in order.
   void Dispatch(const Outbox& outbox);
 
  private:
--- a/src/runtime/outgoing_peer_connection.cc
+++ b/src/runtime/outgoing_peer_connection.cc
@@ -13,7 +13,7 @@
 constexpr Micros kRetryInterval = 300 * kMillisecond;
 constexpr Micros kConnectTimeout = kSecond;
 constexpr Micros kStallTimeout = 2 * kSecond;
-// Bytes waiting to be sent, beyond which further messages are dropped.
+// Maximum number of unsent bytes; further messages are dropped.
 constexpr size_t kMaxBufferedBytes = size_t{256} * 1024;
 }  // namespace
 
@@ -82,7 +82,7 @@
 }
 
 bool OutgoingPeerConnection::EndedByPeer() const {
-  // The peer never sends on this connection: it is readable when it has ended.
+  // The peer never sends on this connection: readable means that it has ended.
   std::array<char, 1> byte{};
   const Result<size_t, SocketError> count = Receive(socket_.get(), byte);
   return !count && count.error().code != SocketError::kWouldBlock;
--- a/src/runtime/peer_transport.cc
+++ b/src/runtime/peer_transport.cc
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr int kMaxAcceptsAtOnce = 1;
-// Connections beyond it are closed at once.
+// Maximum number of incoming connections; others are closed at once.
 constexpr size_t kMaxIncomingConnections = 32;
 }  // namespace
 
--- a/src/runtime/peer_transport.h
+++ b/src/runtime/peer_transport.h
@@ -1,6 +1,6 @@
-// Messages between the controllers of a deployment, over TCP. Each direction of a pair has its
-// own connection: a controller writes only on those that it opened and reads only on those that
-// it accepted.
+// TCP transport of the messages between controllers. Each direction of a pair has its own
+// connection: a controller sends only on those that it opened and receives only on those that it
+// accepted.
 #ifndef TROUTLINK_RUNTIME_PEER_TRANSPORT_H_
 #define TROUTLINK_RUNTIME_PEER_TRANSPORT_H_
 
@@ -24,30 +24,28 @@
 
 namespace troutlink::runtime {
 
-// Sends messages to the peers and receives theirs. A message may be lost; messages of one
-// sender arrive in order on each connection. To be used on the loop's thread.
+// Sends and receives peer messages. Messages may be lost; those of one sender arrive in order per
+// connection. Use on the loop's thread only.
 class PeerTransport final : private IncomingPeerConnection::Owner {
  public:
-  // Receives each message with the label that its sender gave. May call Send().
+  // Receives each message with the label of its sender. May call Send().
   using MessageHandler = std::function<void(const std::string& from, const mesh::Message& message)>;
 
-  // The transport of the controller `own_label` to its `peers`; connects to each when there is
-  // something to send.
+  // Transport of the controller `own_label` to its `peers`; connects to each on first use.
   PeerTransport(ev::loop_ref loop, const std::string& own_label,
                 const std::vector<PeerController>& peers, MessageHandler on_message);
   ~PeerTransport() override = default;
   PeerTransport(const PeerTransport&) = delete;
   PeerTransport& operator=(const PeerTransport&) = delete;
 
-  // Starts to accept connections; the address listened at, with the port that was chosen for
-  // port 0. To be called once.
+  // Starts to accept connections and returns the address, with the chosen port if it was 0. Call
+  // once.
   [[nodiscard]] Result<Endpoint, SocketError> Open(const Endpoint& address) {
     return listener_.Open(address);
   }
-  // Sends `message` to the peer `to`; drops it when there is no such peer or it cannot be
-  // reached.
+  // Sends `message` to the peer `to`. Dropped if the peer is unknown or unreachable.
   void Send(const std::string& to, const mesh::Message& message);
-  // Closes connections that make no progress; to be called a few times a second.
+  // Closes connections without progress. Call a few times a second.
   void Tick(Micros now);
 
  private:
--- a/src/runtime/socket.cc
+++ b/src/runtime/socket.cc
@@ -13,11 +13,11 @@
 namespace troutlink::runtime {
 namespace {
 
-// Connections that the system holds for a listener until they are accepted.
+// Backlog of a listener.
 constexpr int kListenBacklog = 256;
 constexpr int kSocketFlags = SOCK_NONBLOCK | SOCK_CLOEXEC;
 
-// The failure that errno tells of. To be called before anything else may set errno.
+// Error for errno. Call before anything else may set errno.
 Error<SocketError> LastError() {
   const int error = errno;
   if (error == EAGAIN || error == EINTR) return {SocketError::kWouldBlock, ""};
@@ -32,7 +32,7 @@
   return address;
 }
 
-// The socket functions take addresses of every family through one pointer type.
+// Socket functions take addresses of every family through one pointer type.
 sockaddr* Generic(sockaddr_in* address) {
   return reinterpret_cast<sockaddr*>(address);  // NOLINT(*-reinterpret-cast): see above
 }
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -1,5 +1,5 @@
-// Non-blocking TCP sockets over IPv4. Every socket is close-on-exec and sends without delay
-// (TCP_NODELAY). Functions may be called from any thread; none of them blocks.
+// Non-blocking TCP sockets over IPv4, close-on-exec and with TCP_NODELAY. Functions may be called
+// from any thread and never block.
 #ifndef TROUTLINK_RUNTIME_SOCKET_H_
 #define TROUTLINK_RUNTIME_SOCKET_H_
 
@@ -14,27 +14,27 @@
 
 namespace troutlink::runtime {
 
-// Why a socket operation gave nothing.
+// Reason why a socket operation failed.
 enum class SocketError {
-  kWouldBlock,  // nothing to be had now, or a signal came: try again once the socket is ready
-  kClosed,      // the peer has closed the connection in order
-  kFailed,      // any other failure; the text of the error is the system's
+  kWouldBlock,  // not ready, or interrupted by a signal: try again when the socket is ready
+  kClosed,      // the peer has closed the connection
+  kFailed,      // any other failure; the error text is the system's
 };
-// The error's name in logs and test messages.
+// Name of the error for logs and test messages.
 [[nodiscard]] std::string_view NameOf(SocketError error);
 
-// Bytes that a connection reads at a time, which also bounds the time spent on one connection
-// before the event loop turns to the others.
+// Maximum number of bytes read at a time, which bounds the time spent on one connection per loop
+// iteration.
 inline constexpr size_t kReadBytes = 16384;
 
-// A socket that listens at `address`; the system chooses the port if that is 0.
+// Creates a socket that listens on `address`; the system chooses the port if it is 0.
 [[nodiscard]] Result<UniqueFd, SocketError> Listen(const Endpoint& address);
-// A socket that is connecting or connected to `address`. Once it is writable, ConnectOutcome()
-// tells which.
+// Creates a socket that is connecting to `address`. When it becomes writable, ConnectOutcome()
+// tells the result.
 [[nodiscard]] Result<UniqueFd, SocketError> Connect(const Endpoint& address);
-// How an attempt to connect ended; no error when `fd` is connected.
+// Result of an attempt to connect; no error if `fd` is connected.
 [[nodiscard]] std::error_code ConnectOutcome(int fd);
-// The next connection that waits on `listener`.
+// Accepts the next connection on `listener`.
 [[nodiscard]] Result<UniqueFd, SocketError> Accept(int listener);
 // The address that `fd` is bound to.
 [[nodiscard]] Result<Endpoint, SocketError> LocalEndpoint(int fd);
--- a/src/runtime/socket_budget.h
+++ b/src/runtime/socket_budget.h
@@ -1,4 +1,4 @@
-// How a controller shares its file descriptors among the connections that it keeps.
+// Distribution of a controller's file descriptors.
 #ifndef TROUTLINK_RUNTIME_SOCKET_BUDGET_H_
 #define TROUTLINK_RUNTIME_SOCKET_BUDGET_H_
 
@@ -7,20 +7,19 @@
 
 namespace troutlink::runtime {
 
-// Numbers of connections, which together stay within the limit of file descriptors unless that
-// is too low for the least of each.
+// Maximum numbers of connections. Together they stay within the limit of file descriptors unless it
+// is below the minimum of each.
 struct SocketBudget {
-  size_t incoming = 0;    // from users and workers, to the HTTP server
+  size_t incoming = 0;    // from users and agents, to the HTTP server
   size_t to_workers = 0;  // from the HTTP client
 };
 
-// Descriptors left for the state service, the cloud, the peers and the event loop itself,
-// whatever else comes in.
+// Descriptors reserved for the key-value store, the cloud, the peers and the event loop.
 inline constexpr int kReservedDescriptors = 64;
 
-// The budget of a process that may open `descriptor_limit` file descriptors. Every worker may
-// come to one controller when the others are gone, so that most descriptors are for incoming
-// connections; commands to workers are short and share a sixth.
+// The budget of a process that may open `descriptor_limit` file descriptors. Most are for incoming
+// connections, as all agents may come to one controller when the others are down; commands to
+// agents are short and share a sixth.
 [[nodiscard]] constexpr SocketBudget BudgetOf(int descriptor_limit) {
   constexpr int kWorkerFraction = 6;
   constexpr int kMinToWorkers = 4;
--- a/src/runtime/unique_fd.h
+++ b/src/runtime/unique_fd.h
@@ -8,15 +8,15 @@
 
 namespace troutlink::runtime {
 
-// Owns at most one open file descriptor and closes it when it is destroyed or replaced.
+// Owns at most one open file descriptor, and closes it on destruction or replacement.
 //
-// A libev watcher of the descriptor must be stopped before the descriptor is closed: classes
-// declare the watcher after the UniqueFd, so that it is destroyed first.
+// A libev watcher must be stopped before its descriptor is closed: declare the watcher after the
+// UniqueFd, so that it is destroyed first.
 class UniqueFd {
  public:
   // Owns nothing.
   UniqueFd() = default;
-  // Takes ownership of `fd`; a negative one stands for none.
+  // Takes ownership of `fd`; negative: none.
   explicit UniqueFd(int fd) : fd_(fd) {}
   ~UniqueFd() { reset(); }
   UniqueFd(UniqueFd&& other) noexcept : fd_(std::exchange(other.fd_, kNone)) {}
@@ -30,16 +30,16 @@
   UniqueFd(const UniqueFd&) = delete;
   UniqueFd& operator=(const UniqueFd&) = delete;
 
-  // True when it owns a descriptor.
+  // Whether it owns a descriptor.
   explicit operator bool() const { return fd_ >= 0; }
-  // The descriptor, still owned; negative for none.
+  // The descriptor, still owned; negative: none.
   [[nodiscard]] int get() const { return fd_; }
-  // Closes the descriptor, if there is one.
+  // Closes the descriptor, if any.
   void reset() {
     if (fd_ >= 0) close(fd_);
     fd_ = kNone;
   }
-  // Hands the descriptor over to the caller, who must close it.
+  // Releases the descriptor to the caller, who must close it.
   [[nodiscard]] int release() { return std::exchange(fd_, kNone); }
 
  private:
--- a/src/runtime/write_buffer.cc
+++ b/src/runtime/write_buffer.cc
@@ -10,7 +10,7 @@
 }
 
 void WriteBuffer::Append(std::string_view bytes) {
-  // Only here, so that a long body which leaves in many pieces is not moved for each of them.
+  // Compact only here, so that a long body is not moved for each piece sent.
   bytes_.erase(0, sent_);
   sent_ = 0;
   bytes_.append(bytes);
--- a/src/runtime/write_buffer.h
+++ b/src/runtime/write_buffer.h
@@ -1,4 +1,4 @@
-// Bytes that wait until a non-blocking socket takes them.
+// Bytes waiting to be sent on a non-blocking socket.
 #ifndef TROUTLINK_RUNTIME_WRITE_BUFFER_H_
 #define TROUTLINK_RUNTIME_WRITE_BUFFER_H_
 
@@ -11,23 +11,22 @@
 
 namespace troutlink::runtime {
 
-// A queue of bytes to send on one connection. It has no limit by itself: whoever appends
-// bounds it.
+// Send queue of one connection. It is unbounded: callers limit what they append.
 class WriteBuffer {
  public:
-  // Replaces what is in the buffer by `bytes`.
+  // Replaces the content by `bytes`.
   void Assign(std::string bytes);
-  // Adds `bytes` at the end.
+  // Appends `bytes`.
   void Append(std::string_view bytes);
-  // Forgets all bytes that were not sent.
+  // Drops all unsent bytes.
   void Clear();
-  // Sends as many bytes as `fd` takes now: their number, which is 0 when the socket is full.
-  // What is left stays in the buffer. Never fails with kWouldBlock.
+  // Sends as many bytes as `fd` accepts and returns their number; 0 if the socket is full. The rest
+  // stays in the buffer. Never fails with kWouldBlock.
   [[nodiscard]] Result<size_t, SocketError> Flush(int fd);
 
-  // Bytes that are not sent yet.
+  // Number of unsent bytes.
   [[nodiscard]] size_t size() const { return bytes_.size() - sent_; }
-  // Whether everything is sent.
+  // Whether everything was sent.
   [[nodiscard]] bool empty() const { return size() == 0; }
 
  private:
--- a/src/wire/field_checker.cc
+++ b/src/wire/field_checker.cc
@@ -11,7 +11,7 @@
 namespace troutlink::wire {
 namespace {
 
-// The longest text of a user's document, in bytes.
+// Maximum length of a string in a user's document, in bytes.
 constexpr size_t kMaxTextBytes = 200;
 
 }  // namespace
--- a/src/wire/json_fwd.h
+++ b/src/wire/json_fwd.h
@@ -1,5 +1,4 @@
-// The type of a document in memory, declared only: headers that merely name it need not read the
-// whole JSON library.
+// Forward declaration of the document type, so that headers need not include the JSON library.
 #ifndef TROUTLINK_WIRE_JSON_FWD_H_
 #define TROUTLINK_WIRE_JSON_FWD_H_
 
--- a/src/wire/pack.cc
+++ b/src/wire/pack.cc
@@ -9,7 +9,7 @@
 
 constexpr size_t kMaxDepth = 16;
 
-// Walks a document without building it and says whether it keeps the rules.
+// Validates a document while parsing, without building it.
 class Inspector : public nlohmann::json_sax<Json> {
  public:
   bool null() override { return true; }
--- a/src/wire/pack.h
+++ b/src/wire/pack.h
@@ -1,6 +1,5 @@
-// MessagePack documents and their fields, for the wire package. UnpackStrict() accepts
-// only what users may send: maps keyed by text, no repeated key, no binary data, no
-// trailing bytes, bounded depth.
+// MessagePack documents and their fields. UnpackStrict() accepts only what users may send: maps
+// with string keys, no repeated keys, no binary data, no trailing bytes, bounded depth.
 #ifndef TROUTLINK_WIRE_PACK_H_
 #define TROUTLINK_WIRE_PACK_H_
 
@@ -14,24 +13,23 @@
 
 namespace troutlink::wire {
 
-// `value` as MessagePack.
+// Encodes `value`.
 std::string Pack(const Json& value);
-// The document in `body`, from the platform; nothing when it is malformed.
+// Decodes a document of the platform; nothing if it is malformed.
 std::optional<Json> Unpack(std::string_view body);
-// The document in `body`, from a user; nothing also for repeated keys, binary data and
-// deep nesting.
+// Decodes a document of a user; nothing also for repeated keys, binary data and deep nesting.
 std::optional<Json> UnpackStrict(std::string_view body);
 
-// Fields of a map. Missing, null and wrongly typed ones read as nothing, and so does any
-// field of a value that is not a map.
+// Fields of a map. Missing, null and wrongly typed fields read as nothing, as does any field of a
+// value that is not a map.
 
 // The field, of any type.
 const Json* Find(const Json& map, const char* key);
-// The field as a text.
+// The field as a string.
 std::optional<std::string> Text(const Json& map, const char* key);
-// The field as an integer that is not negative.
+// The field as a non-negative integer.
 std::optional<uint64_t> Count(const Json& map, const char* key);
-// The field as an integer of 64 bits, which may be negative.
+// The field as a 64-bit integer.
 std::optional<int64_t> Integer(const Json& map, const char* key);
 // The field as a finite number.
 std::optional<double> Number(const Json& map, const char* key);
--- a/src/wire/user.cc
+++ b/src/wire/user.cc
@@ -1,4 +1,4 @@
-// The interface for users: submissions, polls and aborts of jobs.
+// Wire format for users: submissions, polls and aborts of jobs.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -23,7 +23,7 @@
 namespace {
 
 // Limits of a submission.
-constexpr double kMaxAmount = 1e6;  // cpus, gpus or gigabytes of a task
+constexpr double kMaxAmount = 1e6;  // CPUs, GPUs or gigabytes per task
 constexpr double kMaxSeconds = 1e8;
 constexpr int kMaxTasks = 100000;
 constexpr size_t kMaxMachineTypes = 64;
@@ -71,7 +71,7 @@
 
 constexpr double kThousandthsPerUnit = 1000;
 
-// `value` in thousandths, rounded up but for errors of the representation.
+// `value` in thousandths, rounded up except for representation errors.
 int64_t ThousandthsUp(double value) {
   constexpr double kRepresentationError = 1e-6;
   return std::llround(std::ceil(value * kThousandthsPerUnit - kRepresentationError));
@@ -79,14 +79,13 @@
 
 double FromThousandths(int64_t value) { return static_cast<double>(value) / kThousandthsPerUnit; }
 
-// The words of the enums as they stand in the document, which are checked after all the
-// required fields have been read.
+// Enum words of the document, which are checked after all required fields have been read.
 struct SpecWords {
   std::string kind;
   std::string priority;
 };
 
-// The required texts, numbers and flags; the words are left to ReadWords().
+// Reads the required strings, numbers and flags.
 SpecWords ReadRequired(FieldChecker* fields, JobSpec* spec) {
   SpecWords words;
   spec->id = fields->RequiredText(kId);
@@ -108,7 +107,7 @@
   return words;
 }
 
-// Checks the form of the id and reads the words of the enums.
+// Checks the format of the id and parses the enum words.
 void ReadWords(const SpecWords& words, FieldChecker* fields, JobSpec* spec) {
   if (!IsJobId(spec->id)) fields->FailField(kId, "must be job- and up to 32 digits");
   const std::optional<JobKind> kind = ParseWord(kKindWords, words.kind);
@@ -122,12 +121,12 @@
 std::vector<std::string> ReadMachineTypes(FieldChecker* fields) {
   std::vector<std::string> types = fields->OptionalTexts(kMachineTypes);
   if (types.size() > kMaxMachineTypes) fields->FailTexts(kMachineTypes);
-  // A list that allows nothing is not the same as null.
+  // An empty list, which allows nothing, differs from null.
   if (types.empty() && fields->Has(kMachineTypes)) types.emplace_back();
   return types;
 }
 
-// The dependencies in order, each of them once.
+// The dependencies in order, without duplicates.
 std::vector<std::string> ReadDependencies(FieldChecker* fields) {
   std::vector<std::string> jobs = fields->OptionalTexts(kDependencies);
   std::ranges::sort(jobs);
@@ -141,7 +140,7 @@
   if (fields->Has(kZone)) spec->zone = fields->RequiredText(kZone);
   if (fields->Has(kDeadlineSeconds)) {
     const Micros deadline = FromSeconds(fields->RequiredNumber(kDeadlineSeconds, kMaxSeconds));
-    // 0 stands for no deadline.
+    // 0: no deadline.
     spec->deadline = std::max<Micros>(1, deadline);
   }
 }
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -1,4 +1,4 @@
-// Tables of the words by which an interface names the values of an enum.
+// Tables of the words for the values of an enum on the wire.
 #ifndef TROUTLINK_WIRE_WORDS_H_
 #define TROUTLINK_WIRE_WORDS_H_
 
@@ -9,18 +9,18 @@
 
 namespace troutlink::wire {
 
-// A value and a word for it.
+// A value and its word.
 template <typename Enum>
 struct EnumWord {
   Enum value;
   std::string_view word;
 };
 
-// The words of an enum. A value may have several: the first is the one that is written.
+// Words of an enum. A value may have several; the first one is written.
 template <typename Enum, size_t Size>
 using WordTable = std::array<EnumWord<Enum>, Size>;
 
-// The value that `word` names; nothing for an unknown word.
+// Value for `word`, if any.
 template <typename Enum, size_t Size>
 constexpr std::optional<Enum> ParseWord(const WordTable<Enum, Size>& table, std::string_view word) {
   for (const EnumWord<Enum>& entry : table) {
@@ -29,7 +29,7 @@
   return std::nullopt;
 }
 
-// The word that is written for `value`; empty for one that the table does not have.
+// Word to write for `value`; empty if the table lacks it.
 template <typename Enum, size_t Size>
 constexpr std::string_view WordOf(const WordTable<Enum, Size>& table, Enum value) {
   for (const EnumWord<Enum>& entry : table) {
