--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -20,15 +20,15 @@
 
 using Json = nlohmann::json;
 
-// Ranges of the platform's numbers, in the units of the document.
-constexpr NumberRange kQuota = {0, 1e9};  // cpus or gpus of a team
+// Ranges of numbers in the settings, in the units of the document.
+constexpr NumberRange kQuota = {0, 1e9};  // CPUs or GPUs of a team
 constexpr NumberRange kReportSeconds = {0.01, 3600};
 constexpr NumberRange kLeaseSeconds = {0.1, 36000};
 constexpr NumberRange kCancelSeconds = {0.1, 360000};
-constexpr NumberRange kStateRate = {1, 1e9};  // requests or writes in a second
+constexpr NumberRange kStateRate = {1, 1e9};  // requests or writes per second
 constexpr NumberRange kValueKilobytes = {1, 1e6};
 constexpr NumberRange kTransactionOps = {4, 1e6};
-constexpr NumberRange kCloudRate = {0.01, 1e9};  // requests in a second
+constexpr NumberRange kCloudRate = {0.01, 1e9};  // requests per second
 constexpr NumberRange kListLagSeconds = {0, 3600};
 constexpr NumberRange kCores = {0.001, 1e6};
 constexpr NumberRange kMemoryMegabytes = {1, 1e9};
@@ -84,13 +84,13 @@
   return teams;
 }
 
-// The field as a number, or `otherwise` for one that is missing or of another type.
+// The field as a number, or `otherwise` if it is missing or of another type.
 double NumberOr(const Json& map, const char* key, double otherwise) {
   const auto it = map.find(key);
   return it != map.end() && it->is_number() ? it->get<double>() : otherwise;
 }
 
-// Throws an exception of the JSON library when the kind or the class is not a text.
+// Throws a JSON exception if the kind or the class is not a string.
 Objective ReadObjective(const Json& map) {
   Objective objective;
   objective.kind = ParseObjectiveKind(map.value("kind", ""));
@@ -101,7 +101,7 @@
   return objective;
 }
 
-// Objectives may be missing, and elements that are not objects are left out.
+// Objectives are optional; elements that are not objects are ignored.
 std::vector<Objective> ReadObjectives(const JsonObjectReader& facts) {
   const Json* list = facts.Find("objectives");
   if (list == nullptr || !list->is_array()) return {};
@@ -111,7 +111,7 @@
       if (map.is_object()) objectives.push_back(ReadObjective(map));
     }
   } catch (const Json::exception& exception) {
-    // The library's text is what operators have been told of such a field.
+    // The JSON library's error text is part of the operators' interface.
     facts.Fail(exception.what());
   }
   return objectives;
@@ -135,7 +135,7 @@
   return limits;
 }
 
-// The announced limits; what they do not name stays as it is, and none of them is larger.
+// Announced limits default to the present ones and cannot exceed them.
 StateLimits ReadNextStateLimits(const JsonObjectReader& state, const StateLimits& present,
                                 FirstError* error) {
   const Json* next = state.Find("next");
@@ -173,7 +173,8 @@
       FromSeconds(facts.Number("time_bound_ms", kTimeBoundMillis) / kMillisPerSecond);
 }
 
-// Numbers the shards by the order of the controllers' labels, which all controllers know.
+// Shards are numbered by the order of the controllers' labels, which is the same on all
+// controllers.
 void AssignShards(const JsonObjectReader& root, Settings* settings) {
   std::vector<std::string>& labels = settings->labels;
   labels.push_back(settings->label);
@@ -182,7 +183,7 @@
   if (std::ranges::adjacent_find(labels) != labels.end()) {
     root.Fail("settings.siblings: two controllers have the same label");
   }
-  settings->own_shard =
+  settings->home_shard =
       static_cast<int>(std::distance(labels.begin(), std::ranges::find(labels, settings->label)));
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,6 +1,5 @@
-// The platform's settings file (JSON), checked and converted to plain structs: what a
-// controller is told at its start of its deployment and of the services around it. The
-// operators' own file is read by operator_settings.h and becomes the member `op`.
+// Settings of a controller, parsed from the platform's JSON file. The operator settings are read by
+// operator_settings.h and become a member.
 #ifndef TROUTLINK_CONFIG_SETTINGS_H_
 #define TROUTLINK_CONFIG_SETTINGS_H_
 
@@ -21,10 +20,10 @@
 struct PeerController {
   std::string label;  // unique in the deployment
   std::string zone;
-  Endpoint mesh;  // where it takes connections of other controllers
+  Endpoint mesh;  // listens here for other controllers
 };
 
-// A team and its quota, in thousandths of a cpu and of a gpu.
+// A team and its quota in milli-CPUs and milli-GPUs.
 struct Team {
   std::string name;
   int64_t cpus = 0;      // guaranteed
@@ -33,83 +32,82 @@
   int64_t gpus_max = 0;  // 0: no limit
 };
 
-// A service level objective of the platform for the jobs of a class.
+// Service-level objective for the jobs of a class.
 struct Objective {
   enum class Kind : uint8_t {
-    kOther,     // of a kind that this release does not know; ignored
-    kWait,      // a job starts within `within` of its submission
-    kFinished,  // a job is done within `within` of its submission
-    kDeadline,  // a job is done within `times` its deadline
+    kOther,     // unknown to this release; ignored
+    kWait,      // starts within `within` of its submission
+    kFinished,  // finishes within `within` of its submission
+    kDeadline,  // finishes within `times` its deadline
   };
   Kind kind = Kind::kOther;
   std::string job_class;
   Micros within = 0;
   double share = 0;  // of the jobs that must meet it, 0 to 1
-  double times = 1;  // of the deadline
+  double times = 1;  // multiple of the deadline
 };
 
-// What the state service accepts.
+// Limits of the key-value store.
 struct StateLimits {
-  double write_rps = 0;     // puts and deletes in a second
-  int64_t value_bytes = 0;  // the largest value
-  int txn_ops = 0;          // puts and deletes of a transaction
-  // Conditions of a transaction.
+  double write_rps = 0;     // puts and deletes per second
+  int64_t value_bytes = 0;  // maximum size of a value
+  int txn_ops = 0;          // puts and deletes per transaction
+  // Conditions per transaction.
   [[nodiscard]] int conditions() const { return 4 * txn_ops; }
 };
 
-// Everything that a controller is told at its start. Amounts are checked to be in range.
+// All settings of a controller. Numbers are checked to be in range.
 struct Settings {
   // This controller.
   std::string label;
   std::string zone;
-  Endpoint serve;  // where it listens for users and workers
-  Endpoint mesh;   // where it listens for the other controllers
+  Endpoint serve;  // listens here for users and agents
+  Endpoint mesh;   // listens here for other controllers
 
-  // The deployment.
+  // Deployment.
   std::vector<PeerController> peers;  // the other controllers
   Endpoint cloud;
-  Endpoint state;                  // this controller's address of the state service
+  Endpoint state;                  // address of the key-value store
   std::vector<std::string> zones;  // where machines may be rented
   std::vector<Team> teams;
   std::vector<Objective> objectives;
 
-  // Workers.
-  Micros heartbeat_period = 0;  // period of a worker's reports
-  Micros agent_lease = 0;       // a worker runs on for so long without an answer to its reports
-  Micros cancellation_deadline =
-      0;  // no task may run for longer than this after its job's cancellation
+  // Agents.
+  Micros heartbeat_period = 0;       // interval of an agent's heartbeats
+  Micros agent_lease = 0;            // an agent stops its tasks after this time without a reply
+  Micros cancellation_deadline = 0;  // maximum time that a task may run after its job was cancelled
 
-  // The state service.
-  double state_rps = 0;  // requests in a second
+  // Key-value store.
+  double state_rps = 0;  // requests per second
   StateLimits state_limits;
-  // Those that the state service will have from some moment after an upgrade, without notice.
-  // No larger than the present ones, and the same where nothing is announced.
+  // Limits that will apply at some time after an upgrade, without notice. Not larger than the
+  // present ones; equal if none are announced.
   StateLimits next_state_limits;
 
-  // The cloud.
-  double cloud_rps = 0;  // requests in a second
-  Micros list_lag = 0;   // its list of machines may be so much out of date
+  // Cloud.
+  double cloud_rps = 0;  // requests per second
+  Micros list_lag = 0;   // maximum age of its list of machines
 
-  // What this process may use.
+  // Resource limits of this process.
   double cores = 0;
   double mem_mb = 0;
   int fd_limit = 0;
-  Micros time_bound = 0;  // checked and kept; nothing depends on it
+  Micros time_bound = 0;  // checked but unused
 
   OperatorSettings operator_settings;
 
-  // All controllers' labels in order; the index of a label is that controller's shard.
+  // Labels of all controllers in order; the index of a label is that controller's shard.
   std::vector<std::string> labels;
-  int own_shard = 0;
-  // One shard for each controller.
+  int home_shard = 0;
+  // One shard per controller.
   [[nodiscard]] int shard_count() const { return static_cast<int>(labels.size()); }
-  // The team of that name; null if the platform has none.
+  // The team with that name, or null.
   [[nodiscard]] const Team* FindTeam(const std::string& name) const;
 };
 
-// The platform's settings in a JSON document, with the defaults of the operators' settings.
-// Errors: kSyntax for what is not JSON; kBadField with the path of the first field that is
-// missing, of another type or out of its range.
+// Parses the platform's settings, with default operator settings. Errors: kSyntax if the document
+// is not JSON; kBadField with the path of the first field that is missing, of the wrong type or out
+// of range.
 [[nodiscard]] Result<Settings, SettingsFault> ParseSettings(const std::string& json);
 
 }  // namespace troutlink
--- a/src/core/agents/failure_tracker.h
+++ b/src/core/agents/failure_tracker.h
@@ -16,24 +16,25 @@
   FailureTracker(int machine_failures, int job_failures)
       : machine_failures_(machine_failures), job_failures_(job_failures) {}
 
-  void Failed(Micros now, const std::string& machine, const std::string& job) {
-    Machine& m = machines_[machine];
-    ++m.failures;
-    m.jobs.insert(job);
-    m.last = now;
-    Job& j = jobs_[job];
-    ++j.failures;
-    j.machines.insert(machine);
-    Tried(machine, job);
-    j.last = now;
+  // Records a failed task.
+  void NoteFailure(Micros now, const std::string& machine, const std::string& job) {
+    Machine& machine_entry = machines_[machine];
+    ++machine_entry.failures;
+    machine_entry.jobs.insert(job);
+    machine_entry.last_failure_at = now;
+    Job& job_entry = jobs_[job];
+    ++job_entry.failures;
+    job_entry.machines.insert(machine);
+    NoteStart(machine, job);
+    job_entry.last_failure_at = now;
   }
   // Records that a task of the job was started on the machine.
-  void Tried(const std::string& machine, const std::string& job) {
+  void NoteStart(const std::string& machine, const std::string& job) {
     std::set<std::string>& tried = jobs_[job].tried;
-    if (tried.size() < 2) tried.insert(machine);
+    if (tried.size() < kEnoughMachines) tried.insert(machine);
   }
   // Records a successful task, which clears the machine and the job.
-  void Succeeded(const std::string& machine, const std::string& job) {
+  void NoteSuccess(const std::string& machine, const std::string& job) {
     machines_.erase(machine);
     auto it = jobs_.find(job);
     if (it != jobs_.end()) it->second = Job{0, {}, std::move(it->second.tried), 0};
@@ -45,8 +46,8 @@
     auto it = machines_.find(machine);
     if (it == machines_.end() || it->second.failures < machine_failures_) return false;
     for (const std::string& job : it->second.jobs) {
-      auto j = jobs_.find(job);
-      if (j != jobs_.end() && j->second.SaysNothing()) continue;
+      auto tracked_job = jobs_.find(job);
+      if (tracked_job != jobs_.end() && tracked_job->second.IsNoEvidence()) continue;
       return true;  // fails only here
     }
     return it->second.jobs.size() >= 2 && !AllJobsFailEverywhere(it->second.jobs);
@@ -55,8 +56,8 @@
   Micros NextStart(const std::string& job) const {
     auto it = jobs_.find(job);
     if (it == jobs_.end() || it->second.failures < job_failures_) return 0;
-    int over = std::min(it->second.failures - job_failures_, 5);
-    return it->second.last + (kSecond << over);
+    const int doublings = std::min(it->second.failures - job_failures_, kMaxDoublings);
+    return it->second.last_failure_at + (kSecond << doublings);
   }
   // Whether an attempt of the job failed on the machine, which it then avoids.
   bool Avoid(const std::string& machine, const std::string& job) const {
@@ -66,38 +67,44 @@
   void ForgetMachine(const std::string& machine) { machines_.erase(machine); }
   // Forgets a finished job, together with failures that are no evidence against its machines.
   void ForgetJob(const std::string& job) {
-    auto j = jobs_.find(job);
-    if (j == jobs_.end()) return;
-    if (j->second.SaysNothing()) {
-      for (const std::string& machine : j->second.machines) {
-        auto m = machines_.find(machine);
-        if (m == machines_.end()) continue;
-        m->second.jobs.erase(job);
-        if (m->second.jobs.empty()) machines_.erase(m);
+    auto tracked_job = jobs_.find(job);
+    if (tracked_job == jobs_.end()) return;
+    if (tracked_job->second.IsNoEvidence()) {
+      for (const std::string& name : tracked_job->second.machines) {
+        auto machine = machines_.find(name);
+        if (machine == machines_.end()) continue;
+        machine->second.jobs.erase(job);
+        if (machine->second.jobs.empty()) machines_.erase(machine);
       }
     }
-    jobs_.erase(j);
+    jobs_.erase(tracked_job);
   }
 
  private:
+  static constexpr int kMaxDoublings = 5;
+  static constexpr size_t kEnoughMachines = 2;  // to tell a machine's failures from a job's
+  static constexpr size_t kEverywhere = 3;      // machines on which a job failed
+
   struct Machine {
     int failures = 0;
     std::set<std::string> jobs;
-    Micros last = 0;
+    Micros last_failure_at = 0;
   };
   struct Job {
     int failures = 0;
     std::set<std::string> machines;
     std::set<std::string> tried;  // at most two machines that it was started on
-    Micros last = 0;
+    Micros last_failure_at = 0;
     // Failures of a job that fails everywhere, or was tried on one machine only, are no evidence
     // against a machine.
-    bool SaysNothing() const { return machines.size() >= 2 || tried.size() < 2; }
+    bool IsNoEvidence() const {
+      return machines.size() >= kEnoughMachines || tried.size() < kEnoughMachines;
+    }
   };
   bool AllJobsFailEverywhere(const std::set<std::string>& jobs) const {
     return std::all_of(jobs.begin(), jobs.end(), [this](const std::string& job) {
       auto it = jobs_.find(job);
-      return it != jobs_.end() && it->second.machines.size() >= 3;
+      return it != jobs_.end() && it->second.machines.size() >= kEverywhere;
     });
   }
 
--- a/src/core/agents/heartbeats.cc
+++ b/src/core/agents/heartbeats.cc
@@ -7,11 +7,17 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kRedirectMemory = 15 * kSecond;
-constexpr Micros kRelayFor = 20 * kSecond;
+constexpr Micros kPeerAliveWindow = 1500 * kMillisecond;
+constexpr Micros kPeerReachableWindow = 2 * kSecond;
+constexpr Micros kFreshStateAge = kSecond;
+constexpr Micros kMinRedirectTime = kSecond;  // an agent that returns sooner did not try the leader
+constexpr int kMaxLeaseLosses = 2;
+constexpr Micros kRedirectRetryWindow = 15 * kSecond;
+constexpr Micros kRelayDuration = 20 * kSecond;
 constexpr Micros kRelayTimeout = 3 * kSecond;
-constexpr Micros kLapseSlack = 2 * kSecond;
-constexpr size_t kMaxUnknown = 10000;  // machines; bounded, as any client can send heartbeats
+constexpr Micros kLeaseLossMargin = 2 * kSecond;
+constexpr size_t kMaxUnassignedAgents =
+    10000;  // machines; bounded, as any client can send heartbeats
 }  // namespace
 
 void Core::ReplyToHeartbeat(const HeartbeatSource& source, int status, std::string body) {
@@ -26,9 +32,9 @@
 
 void Core::HandleAgentHeartbeat(Micros now, const HeartbeatSource& source,
                                 const std::string& body) {
-  ++counters_.reports;
-  std::optional<AgentHeartbeat> report = wire::DecodeAgentHeartbeat(body);
-  if (!report) {
+  ++counters_.heartbeats;
+  std::optional<AgentHeartbeat> heartbeat = wire::DecodeAgentHeartbeat(body);
+  if (!heartbeat) {
     ReplyToHeartbeat(source, 400, wire::EncodeError("malformed report"));
     return;
   }
@@ -36,45 +42,46 @@
     ReplyToHeartbeat(source, 503, wire::EncodeError("not ready"));
     return;
   }
-  const int shard_id = replica_.ShardOfMachine(report->machine);
+  const int shard_id = replica_.ShardOfMachine(heartbeat->machine);
   if (shard_id < 0) {
-    HandleUnassignedAgent(now, source, *report, body);
+    HandleUnassignedAgent(now, source, *heartbeat, body);
     return;
   }
   const Shard& shard = ShardAt(shard_id);
   if (shard.leadership.epoch != 0 && !shard.leadership.Superseded()) {
-    ReplyAsLeader(now, source, shard_id, *report);
+    ReplyAsLeader(now, source, shard_id, *heartbeat);
     return;
   }
   // The leader may have a start in flight under the same token, sent before this node learned of a
   // cancellation. After kCommandTimeout the leader gives up on the command and fences the machine.
   std::optional<RenewalPermit> permit;
-  if (MayRenewOnBehalf(now, shard_id, *report)) permit = JudgeRenewal(now, kCommandTimeout);
+  if (MayRenewOnBehalf(now, shard_id, *heartbeat)) permit = CheckRenewal(now, kCommandTimeout);
   if (permit) {
-    RenewOnBehalf(*permit, source, *report);
+    RenewOnBehalf(*permit, source, *heartbeat);
   } else {
-    RedirectOrRelay(now, source, shard_id, *report, body);
+    RedirectOrRelay(now, source, shard_id, *heartbeat, body);
   }
 }
 
 void Core::HandleUnassignedAgent(Micros now, const HeartbeatSource& source,
-                                 const AgentHeartbeat& report, const std::string& body) {
-  const int shard_id = static_cast<int>(StableHash(report.machine) % shards_.size());
+                                 const AgentHeartbeat& heartbeat, const std::string& body) {
+  const int shard_id = static_cast<int>(StableHash(heartbeat.machine) % shards_.size());
   // Every node keeps these: the one that rented the instance may learn its name at any time.
-  if (unassigned_agents_.size() < kMaxUnknown || unassigned_agents_.count(report.machine) != 0) {
-    unassigned_agents_[report.machine] = report;
+  if (unassigned_agents_.size() < kMaxUnassignedAgents ||
+      unassigned_agents_.count(heartbeat.machine) != 0) {
+    unassigned_agents_[heartbeat.machine] = heartbeat;
   }
-  unknown_instance_since_.try_emplace(report.machine, now);
+  unknown_instance_since_.try_emplace(heartbeat.machine, now);
   if (ShardAt(shard_id).leadership.is_leader) {
     MarkDirty(shard_id);
     ReplyToHeartbeat(source, 503, wire::EncodeError("not adopted yet"));
   } else {
-    RedirectOrRelay(now, source, shard_id, report, body);
+    RedirectOrRelay(now, source, shard_id, heartbeat, body);
   }
 }
 
 void Core::RedirectOrRelay(Micros now, const HeartbeatSource& source, int shard_id,
-                           const AgentHeartbeat& report, const std::string& body) {
+                           const AgentHeartbeat& heartbeat, const std::string& body) {
   std::string leader = election_.LeaderOf(shard_id);
   if (leader == settings_.label) leader.clear();
   if (!source.peer.empty() || leader.empty()) {
@@ -82,32 +89,32 @@
     ReplyToHeartbeat(source, leader.empty() ? 503 : 421, wire::EncodeRedirect(leader));
     return;
   }
-  AgentState& info = machines_[report.machine];
-  if (NeedsRelay(now, leader, &info)) {
+  AgentState& agent = machines_[heartbeat.machine];
+  if (NeedsRelay(now, leader, &agent)) {
     ++counters_.relays;
     const uint64_t relay = next_relay_++;
     relays_[relay] = {source.request, now};
     effects_.SendToPeer({leader, mesh::RelayedAgentHeartbeat{relay, body}});
     return;
   }
-  info.redirected_at = now;
-  info.redirected_to = leader;
+  agent.redirected_at = now;
+  agent.redirected_to = leader;
   ++counters_.redirects;
   ReplyToHeartbeat(source, 421, wire::EncodeRedirect(leader));
 }
 
 // An agent that returns soon after a redirect cannot reach its leader: relay its heartbeats.
-bool Core::NeedsRelay(Micros now, const std::string& leader, AgentState* info) const {
-  const bool came_back = info->redirected_to == leader &&
-                         now - info->redirected_at < kRedirectMemory &&
-                         now - info->redirected_at > kSecond;
+bool Core::NeedsRelay(Micros now, const std::string& leader, AgentState* agent) const {
+  const bool came_back = agent->redirected_to == leader &&
+                         now - agent->redirected_at < kRedirectRetryWindow &&
+                         now - agent->redirected_at > kMinRedirectTime;
   const Peer* peer = peers_.Find(leader);
-  const bool reachable = peer != nullptr && now - peer->last_heard < 2 * kSecond;
+  const bool reachable = peer != nullptr && now - peer->last_heard < kPeerReachableWindow;
   // Relay at once if the leader reports the machine as silent: the lease could expire while the
   // agent tries all nodes.
-  const bool missed = info->reported_silent_since != 0;
-  if ((came_back || missed) && reachable) info->relay_until = now + kRelayFor;
-  return now < info->relay_until && reachable;
+  const bool reported_silent = agent->reported_silent_since != 0;
+  if ((came_back || reported_silent) && reachable) agent->relay_until = now + kRelayDuration;
+  return now < agent->relay_until && reachable;
 }
 
 void Core::HandleRelayReply(const mesh::RelayedAgentHeartbeatReply& reply) {
@@ -129,22 +136,22 @@
   }
 }
 
-bool Core::MayRenewOnBehalf(Micros now, int shard_id, const AgentHeartbeat& report) const {
+bool Core::MayRenewOnBehalf(Micros now, int shard_id, const AgentHeartbeat& heartbeat) const {
   const Shard& shard = ShardAt(shard_id);
   if (node_health_.StateFresh(now)) return false;
   const uint64_t epoch = std::max(shard.replica.leadership_version, shard.leadership.rival_epoch);
-  if (epoch == 0 || report.token < TokenForEpoch(epoch)) return false;
+  if (epoch == 0 || heartbeat.token < TokenForEpoch(epoch)) return false;
   const std::string leader = election_.LeaderOf(shard_id);
   if (leader.empty() || leader == settings_.label) return false;
   const Peer* peer = peers_.Find(leader);
   if (peer == nullptr) return false;
   // A live peer that considers itself the leader answers its own agents.
-  const bool gone = now - peer->last_heard > 1500 * kMillisecond ||
-                    peer->led_shards.count(static_cast<uint64_t>(shard_id)) == 0;
-  if (!gone) return false;
+  const bool ended = now - peer->last_heard > kPeerAliveWindow ||
+                     peer->led_shards.count(static_cast<uint64_t>(shard_id)) == 0;
+  if (!ended) return false;
   // A peer that reaches the store may be about to take over.
   for (const auto& [label, other] : peers_.peers()) {
-    if (now - other.last_heard < 1500 * kMillisecond && other.state_age < kSecond) return false;
+    if (now - other.last_heard < kPeerAliveWindow && other.state_age < kFreshStateAge) return false;
   }
   return true;
 }
@@ -153,68 +160,69 @@
 // Nothing is started, and cancelled tasks are stopped. Tasks that this node's replica lacks
 // continue: the leader may have committed them after the last update of the replica.
 void Core::RenewOnBehalf(const RenewalPermit& permit, const HeartbeatSource& source,
-                         const AgentHeartbeat& report) {
+                         const AgentHeartbeat& heartbeat) {
   ++counters_.renewed_on_behalf;
-  ReplyWithRenewal(permit, source, report, report.token, StopsForFinishedJobs(report));
+  ReplyWithRenewal(permit, source, heartbeat, heartbeat.token, StopsForFinishedJobs(heartbeat));
 }
 
 void Core::ReplyAsLeader(Micros now, const HeartbeatSource& source, int shard_id,
-                         const AgentHeartbeat& report) {
+                         const AgentHeartbeat& heartbeat) {
   const Shard& shard = ShardAt(shard_id);
-  auto machine = shard.replica.assignments.machines.find(report.machine);
+  auto machine = shard.replica.assignments.machines.find(heartbeat.machine);
   if (machine == shard.replica.assignments.machines.end()) {
     ReplyToHeartbeat(source, 503, wire::EncodeError("not adopted yet"));
     return;
   }
-  AgentState& info = machines_[report.machine];
-  const uint64_t token = TokenOf(shard_id, info);
-  if (report.token > token) {
+  AgentState& agent = machines_[heartbeat.machine];
+  const uint64_t token = TokenOf(shard_id, agent);
+  if (heartbeat.token > token) {
     // The token is of a later leader.
     ++counters_.redirects;
     ReplyToHeartbeat(source, 421, wire::EncodeRedirect(""));
     return;
   }
-  const std::optional<RenewalPermit> permit = JudgeRenewal(now);
+  const std::optional<RenewalPermit> permit = CheckRenewal(now);
   if (!permit) {
     ReplyToHeartbeat(source, 503, wire::EncodeError("cut off from the state service"));
     return;
   }
-  std::vector<Command> orders;
-  if (ReconcileAgent(now, shard_id, machine->second, report, false)) {
-    orders = MakeCommands(now, shard_id, machine->second, report);
+  std::vector<Command> commands;
+  if (ReconcileAgent(now, shard_id, machine->second, heartbeat, false)) {
+    commands = MakeCommands(now, shard_id, machine->second, heartbeat);
     // Starts wait until the agent has seen this leader's token: show it now instead of waiting for
     // the next heartbeat.
-    if (report.token < info.required_token) SendDirectCommands(now, shard_id, report.machine);
-  } else if (report.session != info.session) {
+    if (heartbeat.token < agent.required_token)
+      SendDirectCommands(now, shard_id, heartbeat.machine);
+  } else if (heartbeat.incarnation != agent.incarnation) {
     // A late heartbeat of an earlier incarnation.
     ReplyToHeartbeat(source, 503, wire::EncodeError("old session"));
     return;
   } else {
     // A direct answer overtook this heartbeat. The reply renews the lease and therefore must stop
     // cancelled tasks as well.
-    orders = StopsForFinishedJobs(report);
+    commands = StopsForFinishedJobs(heartbeat);
   }
-  RecordReply(now, &info, orders);
+  RecordReply(now, &agent, commands);
   ++(shard.leadership.is_leader ? counters_.renewed : counters_.renewed_as_former_leader);
-  ReplyWithRenewal(*permit, source, report, token, std::move(orders));
+  ReplyWithRenewal(*permit, source, heartbeat, token, std::move(commands));
 }
 
-std::vector<Command> Core::StopsForFinishedJobs(const AgentHeartbeat& report) const {
+std::vector<Command> Core::StopsForFinishedJobs(const AgentHeartbeat& heartbeat) const {
   std::vector<Command> stops;
-  for (const TaskStatus& task : report.tasks) {
-    if (task.state != TaskState::kExited && jobs_.IsOver(task.job)) {
+  for (const TaskStatus& task : heartbeat.tasks) {
+    if (task.state != TaskState::kExited && jobs_.IsFinished(task.job)) {
       stops.push_back({Command::Op::kStop, task.job, task.task, task.attempt, 0});
     }
   }
   return stops;
 }
 
-void Core::RecordReply(Micros now, AgentState* info, const std::vector<Command>& orders) {
-  info->answered_at = now;
-  info->ordered.clear();
-  for (const Command& order : orders) {
-    if (order.op != Command::Op::kStop) {
-      info->ordered.push_back({order.job, order.task, order.attempt});
+void Core::RecordReply(Micros now, AgentState* agent, const std::vector<Command>& commands) {
+  agent->last_reply_at = now;
+  agent->last_reply_commands.clear();
+  for (const Command& command : commands) {
+    if (command.op != Command::Op::kStop) {
+      agent->last_reply_commands.push_back({command.job, command.task, command.attempt});
     }
   }
 }
@@ -223,54 +231,55 @@
 // machine gets no more work once the commands of two replies had no effect, or once its lease
 // expired although a reply had just renewed it. It is then probed directly: an answer clears it;
 // without one it is declared lost.
-void Core::CheckCommandsTookEffect(Micros now, int shard_id, AgentState* info,
-                                   const AgentHeartbeat& report, bool new_session) {
-  if (new_session) {
-    CheckReplyKeptLease(now, shard_id, info, report);
+void Core::CheckCommandsTookEffect(Micros now, int shard_id, AgentState* agent,
+                                   const AgentHeartbeat& heartbeat, bool new_incarnation) {
+  if (new_incarnation) {
+    CheckReplyKeptLease(now, shard_id, agent, heartbeat);
     return;
   }
-  if (info->ordered.empty()) return;
-  const bool any_done =
-      std::any_of(info->ordered.begin(), info->ordered.end(),
-                  [&](const Attempt& attempt) { return CommandTookEffect(attempt, report); });
-  info->ignored_replies = any_done ? 0 : info->ignored_replies + 1;
-  if (any_done) info->lease_losses = 0;
-  if (info->ignored_replies >= kMaxIgnoredReplies) info->probe = true;
-  info->ordered.clear();
+  if (agent->last_reply_commands.empty()) return;
+  const bool any_effect =
+      std::any_of(agent->last_reply_commands.begin(), agent->last_reply_commands.end(),
+                  [&](const Attempt& attempt) { return CommandTookEffect(attempt, heartbeat); });
+  agent->ignored_replies = any_effect ? 0 : agent->ignored_replies + 1;
+  if (any_effect) agent->lease_losses = 0;
+  if (agent->ignored_replies >= kMaxIgnoredReplies) agent->probe_pending = true;
+  agent->last_reply_commands.clear();
 }
 
-void Core::CheckReplyKeptLease(Micros now, int shard_id, AgentState* info,
-                               const AgentHeartbeat& report) {
-  const bool answered =
-      info->answered_at != 0 &&
-      now - info->answered_at < ShortestOnOtherClock(settings_.agent_lease) - kLapseSlack;
-  info->answered_at = 0;
-  info->ordered.clear();
-  if (!answered) return;
+void Core::CheckReplyKeptLease(Micros now, int shard_id, AgentState* agent,
+                               const AgentHeartbeat& heartbeat) {
+  const bool reply_kept_lease =
+      agent->last_reply_at != 0 &&
+      now - agent->last_reply_at < ShortestOnOtherClock(settings_.agent_lease) - kLeaseLossMargin;
+  agent->last_reply_at = 0;
+  agent->last_reply_commands.clear();
+  if (!reply_kept_lease) return;
   ++counters_.unresponsive;
-  ++info->lease_losses;
-  info->ignored_replies = std::max(info->ignored_replies, kMaxIgnoredReplies);
-  info->probe = true;
-  info->no_direct_before = std::min(info->no_direct_before, now);
-  if (info->lease_losses < 2 && info->direct_failures == 0) return;
-  info->declared_lost = true;
-  effects_.Log(LogLine::Level::kInfo, "declaring machine " + report.machine + " lost: replies do not reach its agent");
+  ++agent->lease_losses;
+  agent->ignored_replies = std::max(agent->ignored_replies, kMaxIgnoredReplies);
+  agent->probe_pending = true;
+  agent->next_direct_call_at = std::min(agent->next_direct_call_at, now);
+  if (agent->lease_losses < kMaxLeaseLosses && agent->direct_failures == 0) return;
+  agent->declared_lost = true;
+  effects_.Log(LogLine::Level::kInfo,
+               "declaring machine " + heartbeat.machine + " lost: replies do not reach its agent");
   MarkDirty(shard_id);
 }
 
-bool Core::CommandTookEffect(const Attempt& attempt, const AgentHeartbeat& report) const {
-  bool there = false, ended = false;
-  for (const TaskStatus& task : report.tasks) {
+bool Core::CommandTookEffect(const Attempt& attempt, const AgentHeartbeat& heartbeat) const {
+  bool reported = false, ended = false;
+  for (const TaskStatus& task : heartbeat.tasks) {
     if (task.job != attempt.job || task.task != attempt.task || task.attempt != attempt.number) {
       continue;
     }
-    there = true;
+    reported = true;
     ended = task.state == TaskState::kExited;
   }
   // A start shows as a reported task, a forget command as its absence.
   auto known = attempts_.find(attempt);
-  const bool was_start = known != attempts_.end() && !known->second.gone;
-  return was_start ? there : !there || !ended;
+  const bool was_start = known != attempts_.end() && !known->second.terminated;
+  return was_start ? reported : !reported || !ended;
 }
 
 }  // namespace troutlink
--- a/src/core/agents/reconciliation.cc
+++ b/src/core/agents/reconciliation.cc
@@ -6,75 +6,82 @@
 
 namespace troutlink {
 
+namespace {
+constexpr Micros kNoRoomBackoff = 3 * kSecond;
+}  // namespace
+
 bool Core::ReconcileAgent(Micros now, int shard_id, const AssignedMachine& machine,
-                          const AgentHeartbeat& report, bool direct) {
-  AgentState& info = machines_[machine.name];
-  const bool first = info.session == 0;
-  if (!first && (report.session < info.session ||
-                 (report.session == info.session && report.seq <= info.seq))) {
+                          const AgentHeartbeat& heartbeat, bool direct) {
+  AgentState& agent = machines_[machine.name];
+  const bool first = agent.incarnation == 0;
+  if (!first && (heartbeat.incarnation < agent.incarnation ||
+                 (heartbeat.incarnation == agent.incarnation && heartbeat.seq <= agent.seq))) {
     // A late copy is no sign of life either.
     return false;
   }
-  const bool new_session = !first && report.session > info.session;
+  const bool new_incarnation = !first && heartbeat.incarnation > agent.incarnation;
   // Most heartbeats change nothing that matters to a scheduling cycle.
-  bool changed = first || new_session || now - info.heard > 2 * settings_.heartbeat_period ||
-                 info.token_seen < info.required_token;
+  bool changed = first || new_incarnation ||
+                 now - agent.last_heard > 2 * settings_.heartbeat_period ||
+                 agent.token_seen < agent.required_token;
   if (!direct) {
-    CheckCommandsTookEffect(now, shard_id, &info, report, new_session);
+    CheckCommandsTookEffect(now, shard_id, &agent, heartbeat, new_incarnation);
   } else {
-    info.ignored_replies = info.lease_losses = 0;  // the agent answered
-    info.ordered.clear();
+    agent.ignored_replies = agent.lease_losses = 0;  // the agent answered
+    agent.last_reply_commands.clear();
   }
-  RecordHeartbeat(now, shard_id, report, direct, &info);
+  RecordHeartbeat(now, shard_id, heartbeat, direct, &agent);
   // An absence proves termination only once the agent has seen a token above those of earlier
   // leaders' commands and of commands without an answer: these can no longer run.
-  const Evidence evidence{report, new_session, direct, report.token >= info.required_token};
+  const Evidence evidence{heartbeat, new_incarnation, direct,
+                          heartbeat.token >= agent.required_token};
   std::map<Attempt, const TaskStatus*> reported;
-  for (const TaskStatus& task : report.tasks) reported[{task.job, task.task, task.attempt}] = &task;
+  for (const TaskStatus& task : heartbeat.tasks)
+    reported[{task.job, task.task, task.attempt}] = &task;
   for (const Attempt& attempt : machine.attempts) {
     AttemptState* known = FindAttempt(attempt);
-    if (known == nullptr || known->gone) continue;
+    if (known == nullptr || known->terminated) continue;
     auto task = reported.find(attempt);
     if (task != reported.end()) {
       changed = changed || known->state != task->second->state;
-      UpdateTask(now, shard_id, machine, attempt, known, report.session, *task->second);
+      UpdateTask(now, shard_id, machine, attempt, known, heartbeat.incarnation, *task->second);
     } else if (ProvesAbsence(evidence, attempt, *known)) {
-      RecordTaskGone(shard_id, attempt, known);
+      RecordTermination(shard_id, attempt, known);
     }
   }
   if (changed) MarkDirty(shard_id);
   return true;
 }
 
-void Core::RecordHeartbeat(Micros now, int shard_id, const AgentHeartbeat& report, bool direct,
-                           AgentState* info) {
-  info->session = report.session;
-  info->seq = report.seq;
-  info->token_seen = std::max(info->token_seen, report.token);
-  info->heard = now;
-  info->reported_silent_since = 0;
-  if (direct || info->ignored_replies == 0) info->probe = false;
-  if (info->first_heard == 0) {
+void Core::RecordHeartbeat(Micros now, int shard_id, const AgentHeartbeat& heartbeat, bool direct,
+                           AgentState* agent) {
+  agent->incarnation = heartbeat.incarnation;
+  agent->seq = heartbeat.seq;
+  agent->token_seen = std::max(agent->token_seen, heartbeat.token);
+  agent->last_heard = now;
+  agent->reported_silent_since = 0;
+  if (direct || agent->ignored_replies == 0) agent->probe_pending = false;
+  if (agent->first_heartbeat_at == 0) {
     // Failures of direct commands before the boot do not count.
-    info->first_heard = now;
-    info->no_direct_before = 0;
-    info->direct_failures = 0;
-    offer_health_.CameUp(now, {report.type, report.zone, report.spot});
+    agent->first_heartbeat_at = now;
+    agent->next_direct_call_at = 0;
+    agent->direct_failures = 0;
+    offer_health_.CameUp(now, {heartbeat.type, heartbeat.zone, heartbeat.spot});
   }
-  if (!report.addr.empty()) info->addr = report.addr;
-  if (report.notice) {
-    if (info->notice_end == 0) MarkDirty(shard_id);
-    info->notice_end = now + *report.notice;
+  if (!heartbeat.addr.empty()) agent->addr = heartbeat.addr;
+  if (heartbeat.notice) {
+    if (agent->eviction_at == 0) MarkDirty(shard_id);
+    agent->eviction_at = now + *heartbeat.notice;
   }
-  info->tasks = report.tasks;
+  agent->tasks = heartbeat.tasks;
 }
 
 void Core::UpdateTask(Micros now, int shard_id, const AssignedMachine& machine,
-                      const Attempt& attempt, AttemptState* known, uint64_t session,
+                      const Attempt& attempt, AttemptState* known, uint64_t incarnation,
                       const TaskStatus& task) {
-  if (!known->seen) {
-    known->seen = true;
-    if (known->session == 0) known->session = session;
+  if (!known->reported) {
+    known->reported = true;
+    if (known->start_incarnation == 0) known->start_incarnation = incarnation;
   }
   if (task.state == TaskState::kRunning && known->running_at == 0) {
     known->running_at = now;
@@ -96,64 +103,66 @@
 bool Core::ProvesAbsence(const Evidence& evidence, const Attempt& attempt,
                          const AttemptState& known) const {
   // A new incarnation begins without tasks.
-  const AgentHeartbeat& report = evidence.report;
-  if (evidence.new_session && known.session != 0 && known.session < report.session) return true;
-  if (evidence.direct || known.direct || !evidence.clean) return false;
+  const AgentHeartbeat& heartbeat = evidence.heartbeat;
+  if (evidence.new_incarnation && known.start_incarnation != 0 &&
+      known.start_incarnation < heartbeat.incarnation)
+    return true;
+  if (evidence.direct || known.start_in_flight || !evidence.fenced) return false;
   // The task was reported before, or was inherited from an earlier leader.
-  if (known.seen || !known.fresh) return true;
+  if (known.reported || !known.owns_start) return true;
   // Decided here but never reported, and no longer wanted. A start in the reply to an earlier
   // heartbeat was applied or dropped before this one was sent.
-  return (jobs_.IsOver(attempt.job) || known.stopping) &&
-         (known.reply_seq == 0 || known.reply_seq < report.seq);
+  return (jobs_.IsFinished(attempt.job) || known.stopping) &&
+         (known.start_reply_seq == 0 || known.start_reply_seq < heartbeat.seq);
 }
 
-void Core::RecordTaskGone(int shard_id, const Attempt& attempt, AttemptState* known) {
-  if (known->gone) return;
-  known->gone = true;
-  ++counters_.gone;
-  ShardAt(shard_id).cycle.cleanup = true;
+void Core::RecordTermination(int shard_id, const Attempt& attempt, AttemptState* known) {
+  if (known->terminated) return;
+  known->terminated = true;
+  ++counters_.terminated_attempts;
+  ShardAt(shard_id).cycle.cleanup_only = true;
   MarkDirty(shard_id);
   auto found = executions_.find(attempt.job);
   if (found == executions_.end()) return;
-  JobExecution& run = found->second;
+  JobExecution& execution = found->second;
   const auto task = static_cast<size_t>(attempt.task);
-  if (task >= run.tasks.size() || run.tasks[task] != kPlaced) return;
+  if (task >= execution.tasks.size() || execution.tasks[task] != kPlaced) return;
   // A table that changes a few chunks at a time may hold a terminated attempt beside the next
   // attempt of the same task, and a new leader inherits both: the task becomes pending only when
   // all of them have terminated.
   for (auto it = attempts_.lower_bound({attempt.job, attempt.task, 0});
        it != attempts_.end() && it->first.job == attempt.job && it->first.task == attempt.task;
        ++it) {
-    if (!it->second.gone) return;
+    if (!it->second.terminated) return;
   }
-  run.tasks[task] = kWaiting;
-  --run.placed;
-  run.hint = std::min(run.hint, attempt.task);
+  execution.tasks[task] = kWaiting;
+  --execution.placed;
+  execution.first_waiting_task = std::min(execution.first_waiting_task, attempt.task);
 }
 
 void Core::HandleTaskExit(Micros now, int shard_id, const AssignedMachine& machine,
                           const Attempt& attempt, AttemptState* known, const TaskStatus& task) {
-  RecordTaskGone(shard_id, attempt, known);
-  AgentState& info = machines_[machine.name];
+  RecordTermination(shard_id, attempt, known);
+  AgentState& agent = machines_[machine.name];
   // A duplicate of the direct start command may arrive after the forget command and start the task
   // again: the agent must see a higher token first. A finished task would only exit as done again.
   if (task.why != ExitReason::kDone && known->start_token != 0 &&
-      info.token_seen <= known->start_token) {
-    RaiseFencingToken(shard_id, &info, known->start_token);
+      agent.token_seen <= known->start_token) {
+    RaiseFencingToken(shard_id, &agent, known->start_token);
   }
   switch (task.why) {
     case ExitReason::kDone:
-      health_.Succeeded(machine.name, attempt.job);
+      health_.NoteSuccess(machine.name, attempt.job);
       CompleteTask(now, shard_id, attempt, known->running_at);
       break;
     case ExitReason::kError:
     case ExitReason::kUnknown:
-      if (!jobs_.IsOver(attempt.job)) health_.Failed(now, machine.name, attempt.job);
-      effects_.Log(
-          LogLine::Level::kDebug,
-          "task " + attempt.job + "/" + std::to_string(attempt.task) + " failed on " + machine.name);
+      if (!jobs_.IsFinished(attempt.job)) health_.NoteFailure(now, machine.name, attempt.job);
+      effects_.Log(LogLine::Level::kDebug, "task " + attempt.job + "/" +
+                                               std::to_string(attempt.task) + " failed on " +
+                                               machine.name);
       break;
-    case ExitReason::kNoRoom: info.avoid_until = now + 3 * kSecond; break;
+    case ExitReason::kNoRoom: agent.unschedulable_until = now + kNoRoomBackoff; break;
     case ExitReason::kPeers:
     case ExitReason::kStopped:
     case ExitReason::kBusy:
@@ -165,35 +174,35 @@
   auto found = executions_.find(attempt.job);
   const JobEntry* job = jobs_.Find(attempt.job);
   if (found == executions_.end() || job == nullptr) return;
-  JobExecution& run = found->second;
+  JobExecution& execution = found->second;
   const auto task = static_cast<size_t>(attempt.task);
-  if (job->record.spec.kind == JobKind::kService || task >= run.tasks.size() ||
-      run.tasks[task] == kDone) {
+  if (job->record.spec.kind == JobKind::kService || task >= execution.tasks.size() ||
+      execution.tasks[task] == kDone) {
     return;
   }
-  if (run.tasks[task] == kPlaced) --run.placed;  // another attempt is still assigned
-  run.tasks[task] = kDone;
-  ++run.done;
-  if (running_at != 0) run.durations.push_back(now - running_at);
+  if (execution.tasks[task] == kPlaced) --execution.placed;  // another attempt is still assigned
+  execution.tasks[task] = kDone;
+  ++execution.done;
+  if (running_at != 0) execution.durations.push_back(now - running_at);
   ShardAt(shard_id).cycle.progress_dirty = true;
 }
 
-void Core::RecordImageUse(AgentState* info, const std::string& type_name, const std::string& image,
+void Core::RecordImageUse(AgentState* agent, const std::string& type_name, const std::string& image,
                           double gb, Micros now) {
-  info->images[image] = now;
-  info->image_gb[image] = gb;
+  agent->images[image] = now;
+  agent->image_sizes_gb[image] = gb;
   const MachineType* type = machine_types_.Find(type_name);
   if (type == nullptr) return;
   // The machine caches the most recently used images up to its capacity.
-  while (info->images.size() > 1) {
+  while (agent->images.size() > 1) {
     double sum = 0;
-    for (const auto& [name, size] : info->image_gb) sum += size;
+    for (const auto& [name, size] : agent->image_sizes_gb) sum += size;
     if (sum <= type->cache_gb) break;
     auto oldest =
-        std::min_element(info->images.begin(), info->images.end(),
+        std::min_element(agent->images.begin(), agent->images.end(),
                          [](const auto& a, const auto& b) { return a.second < b.second; });
-    info->image_gb.erase(oldest->first);
-    info->images.erase(oldest);
+    agent->image_sizes_gb.erase(oldest->first);
+    agent->images.erase(oldest);
   }
 }
 
--- a/src/core/api/api_counters.h
+++ b/src/core/api/api_counters.h
@@ -14,8 +14,7 @@
   uint64_t polls = 0;
   uint64_t cancels = 0;
   uint64_t forwards = 0;
-  uint64_t kept_from_forwarding =
-      0;                       // because a peer of an older version might execute them wrongly
+  uint64_t not_forwarded = 0;  // because a peer of an older version might execute them wrongly
   uint64_t record_writes = 0;  // job records written in transactions
 };
 
--- a/src/core/api/cancellation_channel.h
+++ b/src/core/api/cancellation_channel.h
@@ -16,7 +16,7 @@
   // A peer reports the job as cancelled; the replica may not show it yet.
   virtual void LearnCancellation(Micros now, const std::string& job_id) = 0;
   // Requests a heartbeat at the next tick, to pass a committed cancellation to the peers.
-  virtual void HastenHeartbeat(Micros now) = 0;
+  virtual void RequestHeartbeat(Micros now) = 0;
 };
 
 }  // namespace troutlink
--- a/src/core/api/cluster_status.h
+++ b/src/core/api/cluster_status.h
@@ -29,7 +29,7 @@
   // Whether all controllers support the newest storage forms; never reverts to false.
   virtual bool AllNodesCurrent() const = 0;
   // The peer with the most recent answer of the key-value store, or empty.
-  virtual std::string FreshPeer(Micros now) const = 0;
+  virtual std::string MostRecentPeer(Micros now) const = 0;
   // Machine types that can be rented; empty: not known yet.
   virtual const std::vector<MachineType>& MachineTypes() const = 0;
   // Time of day.
--- a/src/core/api/job_admission.cc
+++ b/src/core/api/job_admission.cc
@@ -25,9 +25,9 @@
     return AdmissionError{AdmissionFault::kFitsNoMachine,
                           "no allowed machine type has room for a task"};
   }
-  const int64_t at_once = spec.kind == JobKind::kArray ? 1 : spec.tasks;
-  if ((team->cpus_max > 0 && at_once * spec.task_resources.cpus > team->cpus_max) ||
-      (team->gpus_max > 0 && at_once * spec.task_resources.gpus > team->gpus_max)) {
+  const int64_t concurrent_tasks = spec.kind == JobKind::kArray ? 1 : spec.tasks;
+  if ((team->cpus_max > 0 && concurrent_tasks * spec.task_resources.cpus > team->cpus_max) ||
+      (team->gpus_max > 0 && concurrent_tasks * spec.task_resources.gpus > team->gpus_max)) {
     return AdmissionError{AdmissionFault::kAboveTeamLimit, "more than the team's limit"};
   }
   return std::nullopt;
@@ -45,7 +45,7 @@
   }
   // Submissions take precedence over all other writes: they are refused only if the write budget is
   // deep in debt. Otherwise the store itself applies its rate limit.
-  if (write_budget_->have() < -status_->Limits().write_rps / 2) {
+  if (write_budget_->tokens() < -status_->Limits().write_rps / 2) {
     return AdmissionError{AdmissionFault::kTooManySubmissions, "too many submissions"};
   }
   // A node of version 1 would start the job's tasks at once.
--- a/src/core/api/job_queries.cc
+++ b/src/core/api/job_queries.cc
@@ -18,9 +18,9 @@
 constexpr Micros kQueueTimeout = 1500 * kMillisecond;
 constexpr Micros kFailedCheckPause = 50 * kMillisecond;
 constexpr size_t kMaxQueued = 2000;
-constexpr double kCheckReserve = 8;  // requests left for other calls
+constexpr double kRequestsBesideChecks = 8;  // requests left for other calls
 constexpr int kMaxCancelAttempts = 4;
-constexpr const char* kStateSilent = "state service does not answer";
+constexpr const char* kStoreUnavailable = "state service does not answer";
 
 // For a finished job.
 JobPhase PhaseOf(JobState state) {
@@ -43,7 +43,7 @@
   }
   if (!status_->ReplicaSynced() || queue_.size() >= kMaxQueued) {
     Refuse(request, "not ready",
-           status_->ReplicaSynced() ? SpreadRetryAfter(request.job_id) : kRetryAfter);
+           status_->ReplicaSynced() ? JitteredRetryAfter(request.job_id) : kRetryAfter);
     return;
   }
   queue_.push_back(std::move(request));
@@ -52,17 +52,17 @@
 void JobQueries::CheckQueued(Micros now) {
   // Requests that have waited too long get their final answer.
   while (!queue_.empty() && now - queue_.front().received_at > kQueueTimeout) {
-    Refuse(queue_.front(), kStateSilent, kRetryAfter);
+    Refuse(queue_.front(), kStoreUnavailable, kRetryAfter);
     queue_.pop_front();
   }
-  if (checking_ || queue_.empty() || now < no_check_before_) return;
+  if (check_in_flight_ || queue_.empty() || now < next_check_at_) return;
   // Checks use only the request budget that other calls leave, so that many polls cannot starve
   // commits, watches and lease renewals.
-  if (!state_budget_->Has(now, kCheckReserve)) return;
+  if (!state_budget_->Has(now, kRequestsBesideChecks)) return;
   std::map<std::string, uint64_t> versions;
   std::vector<JobRequest> batch;
-  const auto most = static_cast<size_t>(status_->Limits().conditions());
-  while (!queue_.empty() && versions.size() < most) {
+  const auto max_conditions = static_cast<size_t>(status_->Limits().conditions());
+  while (!queue_.empty() && versions.size() < max_conditions) {
     JobRequest request = std::move(queue_.front());
     queue_.pop_front();
     const JobEntry* entry = jobs_->FindJob(request.job_id);
@@ -71,7 +71,7 @@
   }
   StateTxn txn;
   for (const auto& [id, version] : versions) txn.conditions.push_back({JobKey(id), version});
-  checking_ = true;
+  check_in_flight_ = true;
   effects_->Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn),
                  JobRecordStore::kCallTimeout,
                  [this, batch](Micros answered, int status, const std::string& body) {
@@ -81,10 +81,10 @@
 
 void JobQueries::OnChecked(Micros now, const std::vector<JobRequest>& batch,
                            const CommitOutcome& outcome) {
-  checking_ = false;
+  check_in_flight_ = false;
   if (!outcome.readable) {
-    no_check_before_ = now + kFailedCheckPause;
-    for (const JobRequest& request : batch) Refuse(request, kStateSilent, kRetryAfter);
+    next_check_at_ = now + kFailedCheckPause;
+    for (const JobRequest& request : batch) Refuse(request, kStoreUnavailable, kRetryAfter);
     return;
   }
   status_->NoteStateAnswer(now);
@@ -116,13 +116,13 @@
   const OpenAnswerFacts facts{jobs_->StateOf(request.job_id),
                               !entry->record.spec.dependencies.empty(), status_->ReplicaAge(now),
                               max_replica_age_};
-  const Result<OpenAnswerPermit, Refusal> judged = facts.Judge();
-  if (judged && request.kind != JobRequest::Kind::kCancel) {
-    AnswerOpen(*judged, request, *entry);
+  const Result<OpenAnswerPermit, Refusal> result = facts.Evaluate();
+  if (result && request.kind != JobRequest::Kind::kCancel) {
+    AnswerOpen(*result, request, *entry);
     return;
   }
-  if (!judged) refusals_.Add(judged.error().code);
-  if (!judged && judged.error().code == Refusal::kReplicaStale) {
+  if (!result) refusals_.Add(result.error().code);
+  if (!result && result.error().code == Refusal::kReplicaStale) {
     // The job's own record does not show that a dependency was cancelled.
     Refuse(request, "not ready", kRetryAfter);
     return;
@@ -192,7 +192,7 @@
   switch (outcome.kind) {
     case CommitOutcome::Kind::kCommitted:
       // Peers must be able to learn of it before the user does.
-      cancellations_->HastenHeartbeat(now);
+      cancellations_->RequestHeartbeat(now);
       responder_->Answer(request.request_id, http_status::kOk,
                          wire::EncodeJobState(request.job_id, JobPhase::kCancelled));
       break;
--- a/src/core/api/job_queries.h
+++ b/src/core/api/job_queries.h
@@ -25,7 +25,7 @@
 // that only has conditions.
 class JobQueries {
  public:
-  using Refusals = Tally<Refusal, kRefusals>;
+  using Refusals = EnumCounter<Refusal, kRefusals>;
 
   // `max_replica_age`: maximum age of the replica for answers that depend on the state of
   // dependencies. All arguments must outlive this object.
@@ -75,8 +75,8 @@
   Responder* const responder_;
   Refusals refusals_;
   std::deque<JobRequest> queue_;
-  bool checking_ = false;  // a check is in flight
-  Micros no_check_before_ = 0;
+  bool check_in_flight_ = false;  // a check is in flight
+  Micros next_check_at_ = 0;
 };
 
 }  // namespace troutlink
--- a/src/core/api/job_submissions.cc
+++ b/src/core/api/job_submissions.cc
@@ -21,12 +21,12 @@
   return IsTemporary(fault) ? http_status::kServiceUnavailable : http_status::kUnprocessable;
 }
 
-AdmissionError NeverAccepted(const std::string& id) {
+AdmissionError UnknownDependency(const std::string& id) {
   return {AdmissionFault::kDependencyUnknown, "never accepted: " + id};
 }
 
 // For the log; empty for a job without dependencies.
-std::string ListOf(const std::vector<std::string>& dependencies) {
+std::string DependencySuffix(const std::vector<std::string>& dependencies) {
   std::string list;
   for (const std::string& id : dependencies) list += (list.empty() ? ", depends on " : " ") + id;
   return list;
@@ -39,7 +39,7 @@
   if (IsTemporary(error.code)) {
     ++counters_->refused;
     retry_after_s = error.code == AdmissionFault::kTooManySubmissions
-                        ? SpreadRetryAfter(request.job_id)
+                        ? JitteredRetryAfter(request.job_id)
                         : kRetryAfter;
   }
   responder_->Answer(request.request_id, HttpStatusOf(error.code), wire::EncodeError(error.text),
@@ -93,14 +93,14 @@
 void JobSubmissions::ReadDependency(const std::string& id, const JobRequest& request,
                                     JobSpec spec) {
   if (!IsJobId(id) || id == spec.id) {
-    Refuse(request, NeverAccepted(id));
+    Refuse(request, UnknownDependency(id));
     return;
   }
   records_->Read(id, [this, request, spec = std::move(spec), id](Micros answered, bool read) {
     if (!read) {
       Refuse(request, {AdmissionFault::kStateServiceSilent, "state service does not answer"});
     } else if (jobs_->FindJob(id) == nullptr) {
-      Refuse(request, NeverAccepted(id));
+      Refuse(request, UnknownDependency(id));
     } else {
       ResolveDependencies(answered, request, spec);
     }
@@ -109,7 +109,7 @@
 
 void JobSubmissions::Store(Micros now, const JobRequest& request, JobSpec spec) {
   JobRecord record;
-  record.shard_id = selector_->Choose(spec);
+  record.shard_id = selector_->SelectFor(spec);
   record.submitted = status_->WallNow(now);
   record.spec = std::move(spec);
   // A job with a cancelled dependency is accepted, but is cancelled from the start.
@@ -127,13 +127,13 @@
   if (record.spec.dependencies.empty()) {
     backlog_->Add(record.shard_id, record.spec, record.spec.tasks);
   }
-  records_->Write(
-      now, request.job_id, 0, std::move(value),
-      [this, request, phase,
-       accepted = "accepted " + request.job_id + " " + record.spec.job_class +
-                  ListOf(record.spec.dependencies)](Micros answered, const CommitOutcome& outcome) {
-        OnStored(answered, request, phase, accepted, outcome);
-      });
+  records_->Write(now, request.job_id, 0, std::move(value),
+                  [this, request, phase,
+                   accepted = "accepted " + request.job_id + " " + record.spec.job_class +
+                              DependencySuffix(record.spec.dependencies)](
+                      Micros answered, const CommitOutcome& outcome) {
+                    OnStored(answered, request, phase, accepted, outcome);
+                  });
 }
 
 void JobSubmissions::OnStored(Micros now, const JobRequest& request, JobPhase phase,
--- a/src/core/api/request_forwarder.cc
+++ b/src/core/api/request_forwarder.cc
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-void RequestForwarder::Open(Micros now, const Request& request, bool forward_now) {
+void RequestForwarder::Register(Micros now, const Request& request, bool forward_now) {
   OpenRequest& open = open_[request.id];
   open.request = request;
   open.since = now;
@@ -50,10 +50,10 @@
 void RequestForwarder::Forward(Micros now, OpenRequest* open) {
   open->forward_tried = true;
   if (!MayForward(open->request)) {
-    ++counters_->kept_from_forwarding;
+    ++counters_->not_forwarded;
     return;
   }
-  std::string peer = status_->FreshPeer(now);
+  std::string peer = status_->MostRecentPeer(now);
   if (peer.empty()) return;
   ++counters_->forwards;
   open->forward_id = next_id_++;
@@ -65,21 +65,21 @@
 }
 
 void RequestForwarder::Tick(Micros now) {
-  std::vector<uint64_t> ended;
+  std::vector<uint64_t> finished;
   for (auto& [id, open] : open_) {
     if (!open.forward_tried && now - open.since > kForwardAfter) Forward(now, &open);
     if (open.forward_id != 0 && now - open.forwarded_at > kForwardTimeout) {
       forwarded_.erase(open.forward_id);
       open.forward_id = 0;
-      if (open.refusal) ended.push_back(id);
+      if (open.refusal) finished.push_back(id);
     } else if (now - open.since > kRequestTimeout) {
-      ended.push_back(id);
+      finished.push_back(id);
     }
   }
-  for (uint64_t id : ended) End(id);
+  for (uint64_t id : finished) Finish(id);
 }
 
-void RequestForwarder::End(uint64_t request_id) {
+void RequestForwarder::Finish(uint64_t request_id) {
   OpenRequest& open = open_[request_id];
   open.forward_id = 0;
   if (open.refusal) {
@@ -117,7 +117,7 @@
     }
     Answer(request_id, static_cast<int>(reply.status), reply.body);
   } else if (open->second.refusal) {
-    End(request_id);
+    Finish(request_id);
   }
 }
 
@@ -134,14 +134,14 @@
   }
   auto open = open_.find(request_id);
   if (open != open_.end()) {
-    const bool peer_at_work = open->second.forward_id != 0;
-    if (peer_at_work && status == http_status::kNotFound && IsCancel(open->second.request)) {
+    const bool in_progress_at_peer = open->second.forward_id != 0;
+    if (in_progress_at_peer && status == http_status::kNotFound && IsCancel(open->second.request)) {
       // The copy at the peer may still find a job that is submitted after this 404.
       status = http_status::kServiceUnavailable;
       body = wire::EncodeError("no such job so far");
       retry_after_s = kRetryAfter;
     }
-    if (peer_at_work && http_status::IsTemporary(static_cast<uint64_t>(status))) {
+    if (in_progress_at_peer && http_status::IsTemporary(static_cast<uint64_t>(status))) {
       open->second.refusal = Reply{request_id, status, std::move(body), retry_after_s};
       return;
     }
--- a/src/core/api/request_forwarder.h
+++ b/src/core/api/request_forwarder.h
@@ -34,7 +34,7 @@
         counters_(counters) {}
 
   // Registers a user's request. `forward_now`: forward it at once.
-  void Open(Micros now, const Request& request, bool forward_now);
+  void Register(Micros now, const Request& request, bool forward_now);
   // Accepts a request that a peer forwards, and returns it with its local id; nothing if too many
   // are in progress, in which case the peer times out.
   std::optional<Request> Accept(const std::string& from, const mesh::ForwardedRequest& forward);
@@ -65,7 +65,7 @@
   bool MayForward(const Request& request) const;
   void Forward(Micros now, OpenRequest* open);
   // Sends the final answer to a request that is no longer in progress anywhere.
-  void End(uint64_t request_id);
+  void Finish(uint64_t request_id);
 
   uint64_t next_id_;
   Effects* const effects_;
--- a/src/core/api/retry_after.h
+++ b/src/core/api/retry_after.h
@@ -14,9 +14,9 @@
 
 // The same under load, with jitter derived from the job id, so that clients do not retry at the
 // same moment.
-inline int SpreadRetryAfter(const std::string& job_id) {
-  constexpr uint64_t kSpread = 4;
-  return kRetryAfter + static_cast<int>(StableHash(job_id) % kSpread);
+inline int JitteredRetryAfter(const std::string& job_id) {
+  constexpr uint64_t kJitterSeconds = 4;
+  return kRetryAfter + static_cast<int>(StableHash(job_id) % kJitterSeconds);
 }
 
 }  // namespace troutlink
--- a/src/core/api/shard_backlog.cc
+++ b/src/core/api/shard_backlog.cc
@@ -5,12 +5,12 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kMaxAge = 40 * kMillisecond;
+constexpr Micros kMaxCacheAge = 40 * kMillisecond;
 }  // namespace
 
 const std::vector<ShardBacklog::CpusByPriority>& ShardBacklog::Cpus() {
   const Micros now = loads_->LastTick();
-  if (now - counted_at_ < kMaxAge && !cpus_.empty()) return cpus_;
+  if (now - counted_at_ < kMaxCacheAge && !cpus_.empty()) return cpus_;
   counted_at_ = now;
   cpus_.assign(static_cast<size_t>(loads_->ShardCount()), {});
   loads_->VisitRunnableJobs([this](int shard_id, const JobSpec& spec, int64_t tasks) {
--- a/src/core/api/shard_selector.cc
+++ b/src/core/api/shard_selector.cc
@@ -44,7 +44,7 @@
                                ShardCapacity* capacity, Spreads* spreads) const {
   const AssignedMachine& machine = load.machine;
   const MachineType* type = load.type;
-  if (type == nullptr || machine.draining || !machine.helps.empty()) return;
+  if (type == nullptr || machine.draining || !machine.tail_job.empty()) return;
   if (!TypeAllowed(spec, machine.type, machine.spot)) return;
   if (spec.task_resources.Fits(type->size)) ++capacity->suitable_machines;
   capacity->total_cpus +=
@@ -53,23 +53,23 @@
   // prefer a shard where nothing has to be preempted.
   const bool critical = spec.priority == Priority::kProduction;
   const bool preempts = critical || spec.kind == JobKind::kArray;
-  Resources left = type->size - (preempts ? load.UsedAtLeast(spec.priority) : load.used);
+  Resources remaining = type->size - (preempts ? load.UsedAtLeast(spec.priority) : load.used);
   const int64_t unused = std::max<int64_t>(0, (type->size - load.used).cpus);
-  const int64_t available = std::max<int64_t>(0, left.cpus);
+  const int64_t available = std::max<int64_t>(0, remaining.cpus);
   capacity->free_cpus += static_cast<double>(critical ? available : (unused + available) / 2);
   if (machine.addr.empty()) return;  // still booting
-  if (!spec.task_resources.Fits(left)) return;
-  CandidateMachine probe;
-  probe.type = machine.type;
-  probe.zone = machine.zone;
-  probe.spot = machine.spot;
+  if (!spec.task_resources.Fits(remaining)) return;
+  CandidateMachine candidate;
+  candidate.type = machine.type;
+  candidate.zone = machine.zone;
+  candidate.spot = machine.spot;
   if (spec.kind == JobKind::kService && capacity->ready_tasks < spec.tasks &&
       HasImage(load, spec.image)) {
-    AddReadyTasks(spec, type->size - load.used, left, probe, capacity, &spreads->ready);
+    AddReadyTasks(spec, type->size - load.used, remaining, candidate, capacity, &spreads->ready);
   }
-  while (capacity->placeable_tasks < spec.tasks && spec.task_resources.Fits(left) &&
-         Allowed(spec, spreads->placeable, probe)) {
-    left -= spec.task_resources;
+  while (capacity->placeable_tasks < spec.tasks && spec.task_resources.Fits(remaining) &&
+         Allowed(spec, spreads->placeable, candidate)) {
+    remaining -= spec.task_resources;
     ++spreads->placeable.by_zone[machine.zone];
     ++capacity->placeable_tasks;
     if (spec.task_resources.cpus <= 0) break;
@@ -80,20 +80,20 @@
   return load.task_images.count(image) != 0 || loads_->CachesImage(load.machine.name, image);
 }
 
-void ShardSelector::AddReadyTasks(const JobSpec& spec, Resources unused, const Resources& left,
-                                  const CandidateMachine& probe, ShardCapacity* capacity,
+void ShardSelector::AddReadyTasks(const JobSpec& spec, Resources unused, const Resources& remaining,
+                                  const CandidateMachine& candidate, ShardCapacity* capacity,
                                   JobSpread* spread) {
   capacity->ready_soon_tasks += static_cast<int>(std::min<int64_t>(
-      spec.tasks, spec.task_resources.cpus > 0 ? left.cpus / spec.task_resources.cpus : 1));
+      spec.tasks, spec.task_resources.cpus > 0 ? remaining.cpus / spec.task_resources.cpus : 1));
   while (capacity->ready_tasks < spec.tasks && spec.task_resources.Fits(unused) &&
-         spec.task_resources.cpus > 0 && Allowed(spec, *spread, probe)) {
+         spec.task_resources.cpus > 0 && Allowed(spec, *spread, candidate)) {
     unused -= spec.task_resources;
-    ++spread->by_zone[probe.zone];
+    ++spread->by_zone[candidate.zone];
     ++capacity->ready_tasks;
   }
 }
 
-int ShardSelector::Choose(const JobSpec& spec) {
+int ShardSelector::SelectFor(const JobSpec& spec) {
   const std::vector<ShardCapacity> capacities = CapacitiesFor(spec);
   double mean_cpus = 0;
   for (const ShardCapacity& capacity : capacities) {
--- a/src/core/api/shard_selector.h
+++ b/src/core/api/shard_selector.h
@@ -36,7 +36,7 @@
   // Capacity of each shard, by shard id.
   std::vector<ShardCapacity> CapacitiesFor(const JobSpec& spec);
   // Selects the shard of a new job.
-  int Choose(const JobSpec& spec);
+  int SelectFor(const JobSpec& spec);
 
  private:
   // Zones of the job's tasks as placed on the machines visited so far.
@@ -48,8 +48,8 @@
   void AddMachine(const JobSpec& spec, const MachineLoad& load, ShardCapacity* capacity,
                   Spreads* spreads) const;
   // Adds replicas that find their image cached. `unused`: free now; `left`: free after preemption.
-  static void AddReadyTasks(const JobSpec& spec, Resources unused, const Resources& left,
-                            const CandidateMachine& probe, ShardCapacity* capacity,
+  static void AddReadyTasks(const JobSpec& spec, Resources unused, const Resources& remaining,
+                            const CandidateMachine& candidate, ShardCapacity* capacity,
                             JobSpread* spread);
   bool HasImage(const MachineLoad& load, const std::string& image) const;
   static double ScoreOf(const JobSpec& spec, const ShardCapacity& capacity, double mean_cpus);
--- a/src/core/api/user_api.cc
+++ b/src/core/api/user_api.cc
@@ -31,7 +31,7 @@
 }
 
 void UserApi::HandleRequest(Micros now, const Request& request) {
-  forwarder_.Open(now, request, !Ready(now));
+  forwarder_.Register(now, request, !Ready(now));
   Route(now, request);
 }
 
--- a/src/core/core.cc
+++ b/src/core/core.cc
@@ -13,9 +13,11 @@
 namespace troutlink {
 
 namespace {
-constexpr double kShareOfLimits = 0.9;
-// Seconds of the write rate that may be used at once.
-constexpr double kWriteBurst = 0.5;
+constexpr double kUsableLimitShare = 0.9;
+// Seconds of each rate that may be used at once.
+constexpr double kWriteBurstSeconds = 0.5;
+constexpr double kRequestBurstSeconds = 0.3;
+constexpr double kCloudBurstSeconds = 2;
 // Ids of forwarded requests are above all ids of requests that arrive here.
 constexpr uint64_t kForwardIds = uint64_t{1} << 62;
 
@@ -27,12 +29,13 @@
 
 Core::Core(const Settings& settings, uint64_t boot, Micros now, Micros wall)
     : settings_(settings),
-      write_budget_(settings.state_limits.write_rps * kShareOfLimits / settings.shard_count(),
-                    settings.next_state_limits.write_rps * kWriteBurst),
-      state_budget_(settings.state_rps * kShareOfLimits / settings.shard_count(),
-                    settings.state_rps * 0.3),
-      cloud_budget_(settings.cloud_rps * kShareOfLimits / settings.shard_count(),
-                    std::max(1.0, settings.cloud_rps * 2 / settings.shard_count())),
+      write_budget_(settings.state_limits.write_rps * kUsableLimitShare / settings.shard_count(),
+                    settings.next_state_limits.write_rps * kWriteBurstSeconds),
+      state_budget_(settings.state_rps * kUsableLimitShare / settings.shard_count(),
+                    settings.state_rps * kRequestBurstSeconds),
+      cloud_budget_(
+          settings.cloud_rps * kUsableLimitShare / settings.shard_count(),
+          std::max(1.0, settings.cloud_rps * kCloudBurstSeconds / settings.shard_count())),
       effects_(&state_budget_),
       boot_(boot),
       started_(now),
@@ -45,7 +48,7 @@
              &write_budget_, this}),
       node_health_(now),
       cancellations_(settings.cancellation_deadline, settings.agent_lease),
-      election_({settings.label, settings.labels, settings.own_shard, boot, now,
+      election_({settings.label, settings.labels, settings.home_shard, boot, now,
                  settings.cancellation_deadline,
                  FromSeconds(settings.operator_settings.hand_back_after_s())},
                 {&effects_, &write_budget_, &session_lease_, &node_health_, this, this}),
@@ -67,9 +70,9 @@
                      }),
       instance_lister_(
           {settings.shard_count(), settings.cloud_rps, settings.list_lag}, &effects_,
-          &cloud_budget_, [this] { return some_silent_; },
-          [this](Micros t, Micros asked, const std::vector<ListedMachine>& instances) {
-            ReconcileInstances(t, asked, instances);
+          &cloud_budget_, [this] { return any_machine_silent_; },
+          [this](Micros now, Micros asked, const std::vector<ListedMachine>& instances) {
+            ReconcileInstances(now, asked, instances);
           }),
       offer_backoff_(FromSeconds(settings.operator_settings.refusal_pause_s())),
       offer_selector_(&machine_types_, &offer_health_, &offer_backoff_),
@@ -96,7 +99,7 @@
 Core::~Core() = default;
 
 // Runs after every input, which may have enabled further steps.
-void Core::After(Micros now) {
+void Core::RunFollowUps(Micros now) {
   user_api_.CheckQueued(now);
   if (sync_.feed().synced()) RunSchedulingCycles(now);
 }
@@ -107,15 +110,15 @@
   auto reply = [&](int status, std::string body, int retry_after_s = 0) {
     effects_.SendReply({request.id, status, std::move(body), retry_after_s});
   };
-  auto only = [&](std::string_view method) {
+  auto require_method = [&](std::string_view method) {
     if (request.method == method) return true;
     reply(http_status::kMethodNotAllowed, wire::EncodeError("method not allowed"));
     return false;
   };
   if (target == wire::kHeartbeatPath) {
-    if (only("POST")) HandleAgentHeartbeat(now, {request.id, "", 0}, request.body);
+    if (require_method("POST")) HandleAgentHeartbeat(now, {request.id, "", 0}, request.body);
   } else if (target == wire::kUpPath) {
-    if (only("GET")) {
+    if (require_method("GET")) {
       if (IsReady(now, sync_.feed().synced(), node_health_, peers_)) {
         reply(http_status::kOk, "");
       } else {
@@ -123,11 +126,11 @@
       }
     }
   } else if (target == wire::kJobsPath) {
-    if (only("POST")) user_api_.HandleRequest(now, request);
+    if (require_method("POST")) user_api_.HandleRequest(now, request);
   } else if (target == "/metrics") {
-    if (only("GET")) reply(http_status::kOk, MetricsText(now));
+    if (require_method("GET")) reply(http_status::kOk, MetricsText(now));
   } else if (std::optional<wire::JobPath> path = wire::ParseJobPath(target)) {
-    if (only(path->abort ? "POST" : "GET")) {
+    if (require_method(path->abort ? "POST" : "GET")) {
       if (!IsJobId(path->id)) {
         reply(http_status::kNotFound, wire::EncodeError("no such job"));
       } else {
@@ -137,13 +140,13 @@
   } else {
     reply(http_status::kNotFound, wire::EncodeError("no such path"));
   }
-  After(now);
+  RunFollowUps(now);
   return effects_.TakeOutbox();
 }
 
 Outbox Core::HandleAnswer(Micros now, uint64_t call, int status, const std::string& body) {
   effects_.HandleAnswer(now, call, status, body);
-  After(now);
+  RunFollowUps(now);
   return effects_.TakeOutbox();
 }
 
@@ -162,15 +165,16 @@
   } else if (const auto* forward_reply = std::get_if<mesh::ForwardedResponse>(&message)) {
     user_api_.HandleForwardReply(now, *forward_reply);
   }
-  After(now);
+  RunFollowUps(now);
   return effects_.TakeOutbox();
 }
 
 // The limits of the store and the cloud are divided between shards: a node that leads several has
 // the share of each.
-void Core::ShareLimits(Micros now) {
-  const int owned = std::max(1, election_.LedShards());
-  const double share = kShareOfLimits * static_cast<double>(owned) / settings_.shard_count();
+void Core::UpdateRateLimits(Micros now) {
+  const int led_shards = std::max(1, election_.LedShards());
+  const double share =
+      kUsableLimitShare * static_cast<double>(led_shards) / settings_.shard_count();
   write_budget_.SetRate(now, cluster_version_.limits().write_rps * share);
   state_budget_.SetRate(now, settings_.state_rps * share);
   cloud_budget_.SetRate(now, settings_.cloud_rps * share);
@@ -183,8 +187,8 @@
     effects_.Log(LogLine::Level::kInfo,
                  "process was paused for " +
                      std::to_string((now - node_health_.last_tick()) / kMillisecond) + " ms");
-    for (auto& [name, info] : machines_) {
-      if (info.since != 0) info.since = now;
+    for (auto& [name, agent] : machines_) {
+      if (agent.observed_since != 0) agent.observed_since = now;
     }
   }
   node_health_.BeginTick(now);
@@ -193,22 +197,21 @@
   sync_.PublishVersion(now);
   session_lease_.Tick(now);
   if (sync_.feed().synced()) election_.Tick(now);
-  ShareLimits(now);
-  RunCloud(now);
+  UpdateRateLimits(now);
+  TickFleet(now);
   EndStaleRelays(now);
   node_health_.EndTick(now);
   effects_.set_last_tick(now);
   user_api_.Tick(now);
-  After(now);
+  RunFollowUps(now);
   return effects_.TakeOutbox();
 }
 
 std::string Core::MetricsText(Micros now) const {
   std::string out;
-  auto put = [&out](const char* name, uint64_t v) {
-    out.append("troutlink_").append(name).append(" ").append(std::to_string(v)).append("\n");
+  auto put = [&out](const char* name, uint64_t value) {
+    out.append("troutlink_").append(name).append(" ").append(std::to_string(value)).append("\n");
   };
-  const Counters& c = counters_;
   const ApiCounters& api = user_api_.counters();
   put("uptime_seconds", static_cast<uint64_t>((now - started_) / kSecond));
   put("submissions_total", api.submissions);
@@ -216,56 +219,56 @@
   put("refused_total", api.refused);
   put("polls_total", api.polls);
   put("aborts_total", api.cancels);
-  put("reports_total", c.reports);
-  put("redirects_total", c.redirects);
-  put("relays_total", c.relays);
+  put("reports_total", counters_.heartbeats);
+  put("redirects_total", counters_.redirects);
+  put("relays_total", counters_.relays);
   put("forwards_total", api.forwards);
-  put("renewed_on_behalf_total", c.renewed_on_behalf);
-  put("rounds_total", c.rounds);
-  put("oversized_total", c.oversized);
-  put("commits_total", c.commits);
-  put("commit_conflicts_total", c.commit_conflicts);
-  put("commit_unknown_total", c.commit_unknown);
-  put("state_puts_total", c.puts + api.record_writes);
+  put("renewed_on_behalf_total", counters_.renewed_on_behalf);
+  put("rounds_total", counters_.cycles);
+  put("oversized_total", counters_.oversized_plans);
+  put("commits_total", counters_.commits);
+  put("commit_conflicts_total", counters_.commit_conflicts);
+  put("commit_unknown_total", counters_.commit_unknown);
+  put("state_puts_total", counters_.puts + api.record_writes);
   put("state_calls_total", effects_.call_counts().state);
   put("busy_answers_total", effects_.call_counts().rate_limited);
   put("cloud_calls_total", effects_.call_counts().cloud);
   put("worker_calls_total", effects_.call_counts().agent);
-  put("worker_unknown_total", c.worker_unknown);
-  put("starts_total", c.starts);
-  put("stops_total", c.stops);
-  put("gone_total", c.gone);
-  put("acquired_machines_total", c.acquired_machines);
-  put("share_moves_total", c.share_moves);
-  put("job_moves_total", c.job_moves);
-  put("consolidated_total", c.consolidated);
-  put("rented_machines_total", c.rented_machines);
-  put("refused_rentals_total", c.refused_rentals);
-  put("returned_total", c.returned);
-  put("adopted_total", c.adopted);
-  put("elections_total", c.elections);
-  put("lost_leaderships_total", c.lost_leaderships);
-  put("handed_back_total", c.failbacks);
-  put("unresponsive_total", c.unresponsive);
-  put("tails_total", c.tails);
-  put("helpers_total", c.helpers);
-  put("overdue_total", c.overdue);
-  put("preempted_total", c.preempted);
-  put("fencing_raises_total", c.fencing_raises);
-  put("renewed_total", c.renewed);
-  put("renewed_as_former_leader_total", c.renewed_as_former_leader);
-  put("replica_lists_total", c.lists);
-  put("replica_watches_total", c.watches);
+  put("worker_unknown_total", counters_.unanswered_commands);
+  put("starts_total", counters_.starts);
+  put("stops_total", counters_.stops);
+  put("gone_total", counters_.terminated_attempts);
+  put("acquired_machines_total", counters_.acquired_machines);
+  put("share_moves_total", counters_.quota_transfers);
+  put("job_moves_total", counters_.job_moves);
+  put("consolidated_total", counters_.consolidated);
+  put("rented_machines_total", counters_.rented_machines);
+  put("refused_rentals_total", counters_.refused_rentals);
+  put("returned_total", counters_.returned);
+  put("adopted_total", counters_.adopted);
+  put("elections_total", counters_.elections);
+  put("lost_leaderships_total", counters_.lost_leaderships);
+  put("handed_back_total", counters_.failbacks);
+  put("unresponsive_total", counters_.unresponsive);
+  put("tails_total", counters_.tails);
+  put("helpers_total", counters_.tail_machines);
+  put("overdue_total", counters_.overdue_tasks);
+  put("preempted_total", counters_.preempted);
+  put("fencing_raises_total", counters_.fencing_raises);
+  put("renewed_total", counters_.renewed);
+  put("renewed_as_former_leader_total", counters_.renewed_as_former_leader);
+  put("replica_lists_total", counters_.lists);
+  put("replica_watches_total", counters_.watches);
   put("replica_revision", sync_.feed().revision());
   put("replica_age_ms",
       static_cast<uint64_t>((now - sync_.feed().complete_up_to()) / kMillisecond));
   const Micros bound = cancellations_.RenewalBound(now);
   put("renewal_bound_ms", static_cast<uint64_t>(std::max<Micros>(0, bound - now) / kMillisecond));
-  put("cancellations_total", c.cancellations);
-  put("told_cancellations_total", c.reported_cancellations);
-  put("kept_from_forwarding_total", api.kept_from_forwarding);
-  put("orphans_total", c.cascade_cancelled);
-  put("refused_by_limits_total", c.refused_by_limits);
+  put("cancellations_total", counters_.cancellations);
+  put("told_cancellations_total", counters_.reported_cancellations);
+  put("kept_from_forwarding_total", api.not_forwarded);
+  put("orphans_total", counters_.cascade_cancelled);
+  put("refused_by_limits_total", counters_.refused_by_limits);
   put("cluster_version", cluster_version_.number());
   put("state_value_bytes", static_cast<uint64_t>(cluster_version_.limits().value_bytes));
   put("state_transaction_changes", static_cast<uint64_t>(cluster_version_.limits().txn_ops));
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -25,8 +25,8 @@
 #include "core/fleet/offer_selector.h"
 #include "core/fleet/rental_requests.h"
 #include "core/io/effects.h"
-#include "core/io/fair_turns.h"
 #include "core/io/io.h"
+#include "core/io/starvation_guard.h"
 #include "core/io/token_bucket.h"
 #include "core/leadership/heartbeat_exchange.h"
 #include "core/leadership/leader_election.h"
@@ -53,23 +53,56 @@
 
 namespace troutlink {
 
+// Counters since the start of the process, exported as metrics.
 struct Counters {
-  uint64_t reports = 0, redirects = 0, relays = 0, renewed_on_behalf = 0;
-  uint64_t renewed = 0, renewed_as_former_leader = 0;
-  uint64_t lists = 0, watches = 0;  // answered by the store
-  uint64_t cancellations = 0,
-           reported_cancellations = 0;  // in the replica; by peers, before the replica
-  uint64_t rounds = 0, oversized = 0;
-  uint64_t commits = 0, commit_conflicts = 0, commit_unknown = 0, puts = 0;
-  uint64_t worker_unknown = 0;
-  uint64_t starts = 0, stops = 0, gone = 0, acquired_machines = 0, share_moves = 0, job_moves = 0,
-           consolidated = 0;
-  uint64_t rented_machines = 0, refused_rentals = 0, returned = 0, adopted = 0;
-  uint64_t elections = 0, lost_leaderships = 0, failbacks = 0;
-  uint64_t unresponsive = 0;
-  uint64_t cascade_cancelled = 0;  // cancelled because a dependency was
+  // Agents.
+  uint64_t heartbeats = 0;
+  uint64_t redirects = 0;
+  uint64_t relays = 0;
+  uint64_t renewed = 0;
+  uint64_t renewed_on_behalf = 0;
+  uint64_t renewed_as_former_leader = 0;
+  uint64_t unresponsive = 0;         // leases that expired despite a reply
+  uint64_t unanswered_commands = 0;  // direct commands without an answer
+  uint64_t fencing_raises = 0;
+  uint64_t starts = 0;
+  uint64_t stops = 0;
+  uint64_t terminated_attempts = 0;
+
+  // Replica.
+  uint64_t lists = 0;    // answered by the store
+  uint64_t watches = 0;  // answered by the store
+  uint64_t cancellations = 0;
+  uint64_t reported_cancellations = 0;  // by peers, before the replica had them
+  uint64_t cascade_cancelled = 0;       // cancelled because a dependency was
+
+  // Scheduling.
+  uint64_t cycles = 0;
+  uint64_t oversized_plans = 0;
+  uint64_t commits = 0;
+  uint64_t commit_conflicts = 0;
+  uint64_t commit_unknown = 0;     // commits without an answer
   uint64_t refused_by_limits = 0;  // answers 400 of the store
-  uint64_t tails = 0, helpers = 0, overdue = 0, preempted = 0, fencing_raises = 0;
+  uint64_t puts = 0;
+  uint64_t acquired_machines = 0;
+  uint64_t quota_transfers = 0;
+  uint64_t job_moves = 0;
+  uint64_t consolidated = 0;
+  uint64_t preempted = 0;
+  uint64_t tails = 0;
+  uint64_t tail_machines = 0;
+  uint64_t overdue_tasks = 0;
+
+  // Fleet.
+  uint64_t rented_machines = 0;
+  uint64_t refused_rentals = 0;
+  uint64_t returned = 0;
+  uint64_t adopted = 0;
+
+  // Leadership.
+  uint64_t elections = 0;
+  uint64_t lost_leaderships = 0;
+  uint64_t failbacks = 0;
 };
 
 class Core : private LeadershipStore,
@@ -101,7 +134,7 @@
   }
   std::string MetricsText(Micros now) const;
   // Actions that violated an invariant and were not carried out.
-  const Tally<Violation, kViolations>& violations() const { return violations_; }
+  const EnumCounter<Violation, kViolations>& violations() const { return violations_; }
   // Enables debug log lines for single permits.
   void SetDetailedLog(bool detailed) { effects_.set_logs_debug(detailed); }
 
@@ -122,10 +155,10 @@
     std::set<std::string> images;  // of its tasks
     // Cached lookups, in the order of the machine's attempts; only for shards that this node leads.
     struct Slot {
-      AttemptState* info = nullptr;
+      AttemptState* attempt = nullptr;
       const JobEntry* job = nullptr;
     };
-    AgentState* info = nullptr;
+    AgentState* agent = nullptr;
     std::vector<Slot> slots;
   };
   // Usage of one shard, recomputed when its assignment table changes.
@@ -143,30 +176,30 @@
   // State of the scheduling cycles of a shard that this node leads.
   struct CycleState {
     bool committing = false;
-    bool dirty = false;    // a cycle is needed
-    bool cleanup = false;  // only removals to commit, which may wait
-    Micros last_commit = 0;
-    Micros committed_at = 0;
+    bool dirty = false;         // a cycle is needed
+    bool cleanup_only = false;  // only removals to commit, which may wait
+    Micros last_cycle_at = 0;
+    Micros last_commit_at = 0;
     Micros not_before = 0;
     Micros cycle_started_at = 0;
     Micros cleanup_at = 0;
     int conflicts = 0;
-    Micros transfers_after = 0;  // no transfers from other shards before
-    Micros explained_at = 0;     // last log line about unplaced production work
-    Micros calm_since = 0;       // start of the time without backlog
-    Micros consolidate_at = 0;
+    Micros transfers_after = 0;     // no transfers from other shards before
+    Micros unplaced_logged_at = 0;  // last log line about unplaced production work
+    Micros no_backlog_since = 0;    // start of the time without backlog
+    Micros next_consolidation_at = 0;
     Micros progress_at = 0;
     bool progress_dirty = false;
-    bool maintained = false;         // the last turn went to table maintenance
+    bool table_maintained = false;   // the last turn went to table maintenance
     bool records_committed = false;  // the last turn went to job records
     uint32_t batch = 0;
-    Micros next_state_log = 0;  // time of the next log line on the shard's state
-    int next_chunk = 0;         // next chunk to clean up
-    int partial_cycles = 0;     // number of cycles over a table of many chunks
-    int narrow = 0;             // cycles left with reduced limits, after a plan that did not fit
-    double peak = 0;            // peak demand of arrays in milli-CPUs
-    double array_peak = 0;      // the same, decayed
-    Micros peak_at = 0;
+    Micros next_state_log = 0;    // time of the next log line on the shard's state
+    int next_cleanup_chunk = 0;   // next chunk to clean up
+    int partial_cycles = 0;       // number of cycles over a table of many chunks
+    int reduced_cycles_left = 0;  // cycles left with reduced limits, after a plan that did not fit
+    double array_peak_cpus = 0;   // peak demand of arrays in milli-CPUs
+    double decayed_array_peak = 0;  // the same, decayed
+    Micros array_peak_at = 0;
   };
   struct Shard {
     Shard(const ShardRecords& records, const ShardLeadership& leadership)
@@ -222,76 +255,76 @@
     return ShardAt(shard_id).replica.leadership_record;
   }
   bool NeedsTableMigration(int shard_id) const override;
-  void AddElectionTerms(int shard_id, StateTxn* txn) const override;
+  void AddElectionRequirements(int shard_id, StateTxn* txn) const override;
   bool CommitInFlight(int shard_id) const override { return ShardAt(shard_id).cycle.committing; }
   bool ManyMachinesSilent(int shard_id) const override;
   void ApplyCommitted(Micros now, const std::vector<StateWrite>& writes,
                       uint64_t revision) override;
   void RequestList() override { sync_.RequestList(); }
   void OnElected(Micros now, int shard_id) override;
-  void OnEpochFell(int shard_id, uint64_t epoch, uint64_t revision) override;
+  void OnEpochRegressed(int shard_id, uint64_t epoch, uint64_t revision) override;
   void OnLeadershipLost(Micros now, int shard_id, LossReason reason) override;
   void OnWritesSent(size_t writes) override { counters_.puts += writes; }
   void ClearDecisions(int shard_id);
   // Initialises the state of the shard's machines for a new leader.
   void InheritMachines(Micros now, int shard_id);
-  static void InheritMachine(uint64_t epoch, const AssignedMachine& machine, AgentState* info);
+  static void InheritMachine(uint64_t epoch, const AssignedMachine& machine, AgentState* agent);
 
   // --- agents (agents/*.cc) -----------------------------------------------------------------
   struct AttemptState {
     std::string machine;
     int shard_id = 0;
     uint64_t sync_generation = 0;  // of the last table that contained the attempt
-    bool fresh = false;            // decided by this process, which therefore sends the start
-    bool seen = false;             // contained in some heartbeat
-    bool gone = false;             // proven to have terminated; removed by the next commit
+    bool owns_start = false;       // decided by this process, which therefore sends the start
+    bool reported = false;         // contained in some heartbeat
+    bool terminated = false;       // proven to have terminated; removed by the next commit
     uint64_t start_token = 0;      // of the direct command that started it
-    bool direct = false;           // a direct start command awaits its answer
-    bool moved = false;            // being moved to a tail machine
+    bool start_in_flight = false;  // a direct start command awaits its answer
+    bool moved_for_tail = false;   // being moved to a tail machine
     bool stopping = false;
-    Micros stop_at = 0;  // when the stop was decided
-    Micros grace = 0;
+    Micros stop_decided_at = 0;  // when the stop was decided
+    Micros stop_grace = 0;
     bool stop_sent = false;
     TaskState state = TaskState::kFetching;
     Micros placed_at = 0;
     Micros running_at = 0;
-    uint64_t session = 0;    // agent incarnation that the start was sent to
-    uint64_t reply_seq = 0;  // heartbeat whose reply last carried the start
+    uint64_t start_incarnation = 0;  // agent incarnation that the start was sent to
+    uint64_t start_reply_seq = 0;    // heartbeat whose reply last carried the start
   };
   struct AgentState {
     std::string addr;
-    uint64_t session = 0;
+    uint64_t incarnation = 0;
     uint64_t seq = 0;
     uint64_t token_seen = 0;
     uint64_t fencing_token = 0;   // of this machine, if above the epoch's token
     uint64_t required_token = 0;  // absences prove nothing until the agent has seen this token
-    Micros heard = 0;             // last heartbeat or direct answer
-    Micros since = 0;             // start of the observation by this node
-    Micros first_heard = 0;
+    Micros last_heard = 0;        // last heartbeat or direct answer
+    Micros observed_since = 0;    // start of the observation by this node
+    Micros first_heartbeat_at = 0;
     Micros reported_silent_since = 0;  // reported by the leader of its shard
     // Whether replies reach the agent; its heartbeats may arrive while they do not.
-    Micros answered_at = 0;        // last reply with status 200 in this incarnation
-    std::vector<Attempt> ordered;  // starts and forget commands of the last reply
-    int ignored_replies = 0;       // consecutive replies without effect
-    int lease_losses = 0;          // consecutive leases that expired despite replies
-    bool direct_busy = false;
+    Micros last_reply_at = 0;                  // last reply with status 200 in this incarnation
+    std::vector<Attempt> last_reply_commands;  // starts and forget commands of the last reply
+    int ignored_replies = 0;                   // consecutive replies without effect
+    int lease_losses = 0;                      // consecutive leases that expired despite replies
+    bool direct_call_in_flight = false;
     int direct_failures = 0;
-    Micros no_direct_before = 0;
-    bool probe = false;     // request its state: no incarnation is known
-    Micros notice_end = 0;  // end of the eviction notice; 0: none
-    bool failed = false;    // according to the cloud
-    bool missing = false;   // no longer listed by the cloud
+    Micros next_direct_call_at = 0;
+    bool probe_pending = false;    // request its state: no incarnation is known
+    Micros eviction_at = 0;        // end of the eviction notice; 0: none
+    bool reported_failed = false;  // according to the cloud
+    bool unlisted = false;         // no longer listed by the cloud
     bool listed = false;
     bool listed_running = false;
     Micros idle_since = 0;
-    Micros avoid_until = 0;       // after a start refused for lack of room
-    uint64_t assigned_epoch = 0;  // epoch under which it was assigned to this shard
-    int last_shard = -1;          // that it was assigned to
-    bool drain = false;           // being drained by consolidation
-    bool declared_lost = false;   // to be returned even with tasks on it
+    Micros unschedulable_until = 0;  // after a start refused for lack of room
+    uint64_t assigned_epoch = 0;     // epoch under which it was assigned to this shard
+    int last_shard = -1;             // that it was assigned to
+    bool consolidating = false;      // being drained by consolidation
+    bool declared_lost = false;      // to be returned even with tasks on it
     std::vector<TaskStatus> tasks;
     std::map<std::string, Micros> images;  // cached images by time of last use
-    std::map<std::string, double> image_gb;
+    std::map<std::string, double> image_sizes_gb;
     // Redirects and relays, while another node leads.
     Micros redirected_at = 0;
     std::string redirected_to;
@@ -311,108 +344,109 @@
   void HandleAgentHeartbeat(Micros now, const HeartbeatSource& source, const std::string& body);
   // Handles a heartbeat from a machine in no assignment table, which may be adopted soon.
   void HandleUnassignedAgent(Micros now, const HeartbeatSource& source,
-                             const AgentHeartbeat& report, const std::string& body);
+                             const AgentHeartbeat& heartbeat, const std::string& body);
   // Redirects the agent to the leader of its shard, or relays its heartbeat there.
   void RedirectOrRelay(Micros now, const HeartbeatSource& source, int shard_id,
-                       const AgentHeartbeat& report, const std::string& body);
-  bool NeedsRelay(Micros now, const std::string& leader, AgentState* info) const;
+                       const AgentHeartbeat& heartbeat, const std::string& body);
+  bool NeedsRelay(Micros now, const std::string& leader, AgentState* agent) const;
   void HandleRelayReply(const mesh::RelayedAgentHeartbeatReply& reply);
   void EndStaleRelays(Micros now);
   // Whether to renew leases for a leader that ended while no node reaches the store to replace it.
-  bool MayRenewOnBehalf(Micros now, int shard_id, const AgentHeartbeat& report) const;
+  bool MayRenewOnBehalf(Micros now, int shard_id, const AgentHeartbeat& heartbeat) const;
   void RenewOnBehalf(const RenewalPermit& permit, const HeartbeatSource& source,
-                     const AgentHeartbeat& report);
+                     const AgentHeartbeat& heartbeat);
   void ReplyAsLeader(Micros now, const HeartbeatSource& source, int shard_id,
-                     const AgentHeartbeat& report);
+                     const AgentHeartbeat& heartbeat);
   void ReplyToHeartbeat(const HeartbeatSource& source, int status, std::string body);
   // Stops for reported tasks of finished jobs; every reply that renews a lease contains them.
-  std::vector<Command> StopsForFinishedJobs(const AgentHeartbeat& report) const;
-  void RecordReply(Micros now, AgentState* info, const std::vector<Command>& orders);
-  void CheckCommandsTookEffect(Micros now, int shard_id, AgentState* info,
-                               const AgentHeartbeat& report, bool new_session);
+  std::vector<Command> StopsForFinishedJobs(const AgentHeartbeat& heartbeat) const;
+  void RecordReply(Micros now, AgentState* agent, const std::vector<Command>& commands);
+  void CheckCommandsTookEffect(Micros now, int shard_id, AgentState* agent,
+                               const AgentHeartbeat& heartbeat, bool new_incarnation);
   // Handles a new incarnation: the previous lease expired even though it may just have been
   // renewed.
-  void CheckReplyKeptLease(Micros now, int shard_id, AgentState* info,
-                           const AgentHeartbeat& report);
+  void CheckReplyKeptLease(Micros now, int shard_id, AgentState* agent,
+                           const AgentHeartbeat& heartbeat);
   // Whether the heartbeat shows the effect of the last reply's command for this attempt.
-  bool CommandTookEffect(const Attempt& attempt, const AgentHeartbeat& report) const;
+  bool CommandTookEffect(const Attempt& attempt, const AgentHeartbeat& heartbeat) const;
 
   // What the absence of a task from a heartbeat can prove.
   struct Evidence {
-    const AgentHeartbeat& report;
-    bool new_session = false;  // first heartbeat of its incarnation
-    bool direct = false;       // answer to a direct command
-    bool clean = false;        // no command sent under an older token can still run
+    const AgentHeartbeat& heartbeat;
+    bool new_incarnation = false;  // first heartbeat of its incarnation
+    bool direct = false;           // answer to a direct command
+    bool fenced = false;           // no command sent under an older token can still run
   };
   // Updates the machine and its tasks from a heartbeat or direct answer. Returns false if it is not
   // newer than the last one.
   bool ReconcileAgent(Micros now, int shard_id, const AssignedMachine& machine,
-                      const AgentHeartbeat& report, bool direct);
-  void RecordHeartbeat(Micros now, int shard_id, const AgentHeartbeat& report, bool direct,
-                       AgentState* info);
+                      const AgentHeartbeat& heartbeat, bool direct);
+  void RecordHeartbeat(Micros now, int shard_id, const AgentHeartbeat& heartbeat, bool direct,
+                       AgentState* agent);
   void UpdateTask(Micros now, int shard_id, const AssignedMachine& machine, const Attempt& attempt,
-                  AttemptState* known, uint64_t session, const TaskStatus& task);
+                  AttemptState* known, uint64_t incarnation, const TaskStatus& task);
   // Whether an attempt missing from the heartbeat has terminated and cannot start any more.
   bool ProvesAbsence(const Evidence& evidence, const Attempt& attempt,
                      const AttemptState& known) const;
   void HandleTaskExit(Micros now, int shard_id, const AssignedMachine& machine,
                       const Attempt& attempt, AttemptState* known, const TaskStatus& task);
   void CompleteTask(Micros now, int shard_id, const Attempt& attempt, Micros running_at);
-  void RecordTaskGone(int shard_id, const Attempt& attempt, AttemptState* known);
+  void RecordTermination(int shard_id, const Attempt& attempt, AttemptState* known);
 
   AttemptState* FindAttempt(const Attempt& attempt);
   // Commands for the reply to an accepted heartbeat.
   std::vector<Command> MakeCommands(Micros now, int shard_id, const AssignedMachine& machine,
-                                    const AgentHeartbeat& report);
-  void CommandForTask(Micros now, const AssignedMachine& machine, bool clean,
-                      const TaskStatus& task, std::vector<Command>* orders);
+                                    const AgentHeartbeat& heartbeat);
+  void CommandForTask(Micros now, const AssignedMachine& machine, bool fenced,
+                      const TaskStatus& task, std::vector<Command>* commands);
   void RetryStarts(Micros now, int shard_id, const AssignedMachine& machine,
-                   const AgentHeartbeat& report, const std::set<Attempt>& reported,
-                   std::vector<Command>* orders);
+                   const AgentHeartbeat& heartbeat, const std::set<Attempt>& reported,
+                   std::vector<Command>* commands);
   // Commands sent without waiting for a heartbeat.
   struct DirectCommands {
     uint64_t epoch = 0;
     uint64_t token = 0;
-    std::vector<Command> orders;
+    std::vector<Command> commands;
     std::vector<Attempt> started, stopped;
   };
   // Sends pending commands directly instead of in the next heartbeat's reply.
   void SendDirectCommands(Micros now, int shard_id, const std::string& machine);
   DirectCommands MakeDirectCommands(Micros now, int shard_id, const AssignedMachine& machine,
-                                    const AgentState& info);
+                                    const AgentState& agent);
   void OnCommandsAnswered(Micros now, int shard_id, const std::string& name,
                           const DirectCommands& commands, int status, const std::string& body);
   // Requests a machine's state: no incarnation is known, or commands do not seem to reach it.
   void Probe(Micros now, int shard_id, const std::string& machine);
   void OnProbeAnswered(Micros now, int shard_id, const std::string& name, int status,
                        const std::string& body);
-  static void RecordDirectFailure(Micros now, AgentState* info);
+  static void RecordDirectFailure(Micros now, AgentState* agent);
   // Tokens have this many bits below the revision for fencing, so that raising one needs no commit.
   // No other election or transfer has the same revision, and later ones have higher tokens.
   static constexpr int kFencingBits = 20;
   static uint64_t TokenForEpoch(uint64_t revision) { return revision << kFencingBits; }
-  uint64_t TokenOf(int shard_id, const AgentState& info) const;
+  uint64_t TokenOf(int shard_id, const AgentState& agent) const;
   // Ignores absences until the agent has seen a token above `token`, up to which commands may still
   // run. Later commands carry the raised token.
-  void RaiseFencingToken(int shard_id, AgentState* info, uint64_t token);
-  void StopAttempt(Micros now, const Attempt& attempt, AttemptState* info, Micros grace);
+  void RaiseFencingToken(int shard_id, AgentState* agent, uint64_t token);
+  void StopAttempt(Micros now, const Attempt& attempt, AttemptState* state, Micros grace);
   void StopJob(Micros now, const std::string& job);
 
   // --- permits (permit_checks.cc) --------------------------------------------------
-  void NoteViolation(Violation violation, const std::string& known);
+  void RecordViolation(Violation violation, const std::string& known);
   // Whether the replica assigns the attempt to the machine.
   bool IsAssigned(int shard_id, const std::string& machine, const Attempt& attempt) const;
-  std::optional<StartPermit> JudgeStart(Micros now, int shard_id, const std::string& machine,
+  std::optional<StartPermit> CheckStart(Micros now, int shard_id, const std::string& machine,
                                         const Attempt& attempt);
   std::string PermitMetrics() const;
   static Command StartCommand(const StartPermit& permit, const Attempt& attempt);
   // `allowance`: see RenewalFacts.
-  std::optional<RenewalPermit> JudgeRenewal(Micros now, Micros allowance = 0);
+  std::optional<RenewalPermit> CheckRenewal(Micros now, Micros allowance = 0);
   void ReplyWithRenewal(const RenewalPermit& permit, const HeartbeatSource& source,
-                        const AgentHeartbeat& report, uint64_t token, std::vector<Command> orders);
+                        const AgentHeartbeat& heartbeat, uint64_t token,
+                        std::vector<Command> commands);
 
   void MarkDirty(int shard_id) { shards_[static_cast<size_t>(shard_id)].cycle.dirty = true; }
-  void RecordImageUse(AgentState* info, const std::string& type, const std::string& image,
+  void RecordImageUse(AgentState* agent, const std::string& type, const std::string& image,
                       double gb, Micros now);
 
   // --- scheduling cycles (scheduler/*.cc) --------------------------------------------------
@@ -421,23 +455,23 @@
     std::vector<uint8_t> tasks;  // kWaiting, kPlaced or kDone
     int done = 0;
     int placed = 0;
-    std::vector<int> placed_list;
-    int hint = 0;  // no task before it is waiting
+    std::vector<int> placed_tasks;
+    int first_waiting_task = 0;  // no task before it is waiting
     std::vector<Micros> durations;
-    std::set<int> moved;             // moved to tail machines, at most once each
+    std::set<int> moved_tasks;       // moved to tail machines, at most once each
     Micros last_start = 0;           // of a task, or when the job came to this leader
     Micros unplaced_since = 0;       // start of the wait without a machine; 0: none
-    Micros move_at = 0;              // next attempt to move to another shard
+    Micros next_move_at = 0;         // next attempt to move to another shard
     std::map<int, int> preemptions;  // by task
   };
-  enum : uint8_t { kWaiting = 0, kPlaced = 1, kDone = 2 };
+  enum : uint8_t { kWaiting = 0, kPlaced = 1, kDone = 2 };  // states of JobExecution::tasks
   JobExecution* FindExecution(const std::string& job);
   void LoadExecution(int shard_id, const std::string& id, const JobEntry& entry);
   void ReconcileShard(Micros now, int shard_id);
-  static void ClearAssignedTasks(JobExecution* run);
+  static void ClearAssignedTasks(JobExecution* execution);
   void MachineJoined(Micros now, const Shard& shard, const AssignedMachine& machine,
-                     AgentState* info);
-  void ReconcileAttempts(Micros now, int shard_id, MachineUsage* use);
+                     AgentState* agent);
+  void ReconcileAttempts(Micros now, int shard_id, MachineUsage* usage);
   Micros CycleInterval(const Shard& shard) const;
   void RunSchedulingCycles(Micros now);
   struct Plan;
@@ -452,14 +486,14 @@
     int64_t steady = 0;
     int64_t zone = 0;
     int64_t image = 0;
-    bool lendable = false;  // tasks without checkpoints may borrow it
+    bool borrowable = false;  // tasks without checkpoints may borrow it
   };
   Headroom HeadroomOf(int shard_id, const Plan& plan) const;
   size_t MaxJobsPerCycle(int shard_id) const;
   QuotaShare QuotaReservedForServices(const JobSpec& spec, const Team& team) const;
   std::map<std::string, QuotaShare> UsageInAllShards(int shard_id, const Plan& plan) const;
   std::vector<PendingJob> CollectPendingJobs(Micros now, int shard_id, const Plan& plan);
-  static void NoteArrayPeak(Micros now, Shard* shard, double array_cpus);
+  static void UpdateArrayPeak(Micros now, Shard* shard, double array_cpus);
   std::map<std::string, double> TeamCapacities(int shard_id, const Plan& plan) const;
   static void DeferLargestJobs(Micros wall, double capacity, double ahead,
                                const std::vector<PendingJob*>& jobs);
@@ -469,40 +503,41 @@
   void FindDoneJobs(int shard_id, Plan* plan) const;
   void LogShardState(int shard_id, const Plan& plan);
   void SelectChunksToChange(Shard* shard, Plan* plan) const;
-  std::set<int> ChunksWithMostFreeCapacity(const Shard& shard, size_t most) const;
+  std::set<int> ChunksWithMostFreeCapacity(const Shard& shard, size_t max_chunks) const;
   int TasksWithinLimit(const Plan& plan, const Team& team, int shard_id, const JobSpec& spec,
-                       const QuotaShare& kept) const;
-  static void Reserve(Plan* plan, const JobSpec& spec);
-  static void Withdraw(Plan* plan, const JobSpec& spec, size_t begun);
-  static std::string ShapeOf(const JobSpec& spec);
+                       const QuotaShare& reserved) const;
+  static void ReserveMachine(Plan* plan, const JobSpec& spec);
+  static void RemoveStarts(Plan* plan, const JobSpec& spec, size_t first_start);
+  static std::string PlacementKeyOf(const JobSpec& spec);
   void FindTransferableMachines(Micros now, int shard_id, Plan* plan);
-  bool HasHeardItsMachines(Micros now, int shard_id) const;
+  bool MostAgentsReported(Micros now, int shard_id) const;
   bool IsBestEffort(const JobSpec& spec) const;
   void PlanRentals(Micros now, int shard_id, Plan* plan);
   struct OverdueTask {
     Attempt attempt;
-    AttemptState* info;
+    AttemptState* state;
   };
   // An array in its tail.
   struct Tail {
     const JobSpec& spec;
-    JobExecution* run;
+    JobExecution* execution;
     Micros median;  // run time of its tasks
     int pending;
     std::vector<OverdueTask> overdue;
-    int room;  // of tasks, on existing steady machines
+    int steady_slots;  // of tasks, on existing steady machines
     int candidates() const { return pending + static_cast<int>(overdue.size()); }
   };
-  void PlanTailHelp(Micros now, int shard_id, Plan* plan);
+  void PlanTailAcceleration(Micros now, int shard_id, Plan* plan);
   static Micros MedianOf(std::vector<Micros> durations);
   std::vector<OverdueTask> OverdueTasks(Micros now, const Tail& tail);
-  static int SteadyRoom(const Tail& tail, Plan* plan);
-  void BeginHelp(Micros now, int shard_id, const JobRecord& record, const Tail& tail, Plan* plan);
+  static int SteadyTaskSlots(const Tail& tail, Plan* plan);
+  void StartTailAcceleration(Micros now, int shard_id, const JobRecord& record, const Tail& tail,
+                             Plan* plan);
   void MoveOverdueTasks(Micros now, int shard_id, const Tail& tail, Plan* plan);
   void PlanPlacement(Micros now, int shard_id, Plan* plan);
-  void PreemptTeam(Micros now, int shard_id, Plan* plan, const JobSpec& spec);
+  void PreemptWithinTeam(Micros now, int shard_id, Plan* plan, const JobSpec& spec);
   void FindPreemptible(const Shard& shard, Plan* plan);
-  std::vector<size_t> ChooseVictims(Micros now, const JobSpec& spec,
+  std::vector<size_t> SelectVictims(Micros now, const JobSpec& spec,
                                     const Preemptible& preemptible);
   bool MayPreemptForArray(Micros now, const PreemptibleTask& task);
   void PreemptTask(Micros now, Plan* plan, Preemptible* preemptible, size_t index);
@@ -553,8 +588,8 @@
                         const std::vector<std::string>& failed);
   void OnCommitted(Micros now, int shard_id, const Plan& plan);
   void BeginPlan(Micros now, int shard_id, Plan* plan) const;
-  CandidateMachine EmptyMachine(Micros now, const AssignedMachine& machine) const;
-  bool IsSchedulable(Micros now, const AssignedMachine& machine, const AgentState& info) const;
+  CandidateMachine MakeCandidate(Micros now, const AssignedMachine& machine) const;
+  bool IsSchedulable(Micros now, const AssignedMachine& machine, const AgentState& agent) const;
   ResourceUsage TotalUsageOf(const AssignmentTable& assignments) const;
   int64_t SteadyHeadroom(int shard_id) const;
   bool SpreadServices(int shard_id) const;
@@ -583,17 +618,17 @@
     int64_t reserved_for_arrays = 0;
   };
   void PlanReturns(Micros now, int shard_id, Plan* plan);
-  bool MayReturn(Micros now, const AssignedMachine& machine, CandidateMachine* place, Plan* plan,
-                 FreeCapacity* room);
+  bool ShouldReturn(Micros now, const AssignedMachine& machine, CandidateMachine* candidate,
+                    Plan* plan, FreeCapacity* free);
   bool TailMachineWanted(const std::string& job, const Plan& plan) const;
-  static bool IsSpareSpot(const MachineType& type, const Plan& plan, FreeCapacity* room);
-  bool IsSpareSteady(const MachineType& type, CandidateMachine* place, Plan* plan,
-                     FreeCapacity* room) const;
-  void AddRental(int shard_id, Plan* plan, const Offer& offer, int count, const std::string& helps,
-                 const std::string& reason);
+  static bool IsSpareSpot(const MachineType& type, const Plan& plan, FreeCapacity* free);
+  bool IsSpareSteady(const MachineType& type, CandidateMachine* candidate, Plan* plan,
+                     FreeCapacity* free) const;
+  void AddRental(int shard_id, Plan* plan, const Offer& offer, int count,
+                 const std::string& tail_job, const std::string& reason);
 
   // --- fleet (instances.cc, agents/failure_detection.cc) -------------------------------------
-  void RunCloud(Micros now);
+  void TickFleet(Micros now);
   void ReconcileInstances(Micros now, Micros asked, const std::vector<ListedMachine>& instances);
   void SendRentals(Micros now, int shard_id, const std::vector<std::string>& requests);
   void OnRentalAnswered(int shard_id, const RentalAnswer& answer);
@@ -602,30 +637,30 @@
   std::set<std::string> PartitionedZones(Micros now) const;
   void CheckMachines(Micros now, int shard_id);
   struct ShardSilence {
-    bool all_silent = false;
-    bool most_silent_lately = false;  // within the last lease
+    bool all_machines_silent = false;
+    bool recently_most_silent = false;  // within the last lease
     std::set<std::string> partitioned_zones;
   };
   ShardSilence AssessSilence(Micros now, int shard_id);
-  static Micros SilentFor(Micros now, const AgentState& info);
+  static Micros SilentFor(Micros now, const AgentState& agent);
   Micros SilenceTimeout(const AssignedMachine& machine, const ShardSilence& silence) const;
-  bool IsLost(Micros now, const AssignedMachine& machine, const AgentState& info,
+  bool IsLost(Micros now, const AssignedMachine& machine, const AgentState& agent,
               const ShardSilence& silence) const;
-  void DeclareLost(Micros now, int shard_id, const AssignedMachine& machine, AgentState* info);
+  void DeclareLost(Micros now, int shard_id, const AssignedMachine& machine, AgentState* agent);
   void EvacuateMachine(Micros now, int shard_id, const AssignedMachine& machine,
-                       const AgentState& info);
-  void UpdateIdleTime(Micros now, const AssignedMachine& machine, AgentState* info) const;
-  bool RetryStops(Micros now, const AssignedMachine& machine, const AgentState& info);
+                       const AgentState& agent);
+  void UpdateIdleTime(Micros now, const AssignedMachine& machine, AgentState* agent) const;
+  bool RetryStops(Micros now, const AssignedMachine& machine, const AgentState& agent);
   static std::map<std::string, int> InstancesByZone(const AssignmentTable& assignments);
 
   // --- common (core.cc) --------------------------------------------------------------------
-  void ShareLimits(Micros now);
-  void After(Micros now);
+  void UpdateRateLimits(Micros now);
+  void RunFollowUps(Micros now);
   Micros WallNow(Micros now) const { return now + wall_offset_; }
 
   const Settings settings_;
   // Rate limits of this node.
-  FairTurns write_turns_;  // between the shards that it leads
+  StarvationGuard write_budget_guard_;  // between the shards that it leads
   TokenBucket write_budget_;
   TokenBucket state_budget_;
   TokenBucket cloud_budget_;
@@ -634,8 +669,8 @@
   const Micros started_;
   Micros wall_offset_ = 0;
   Counters counters_;
-  Tally<Refusal, kRefusals> refusals_;
-  Tally<Violation, kViolations> violations_;
+  EnumCounter<Refusal, kRefusals> refusals_;
+  EnumCounter<Violation, kViolations> violations_;
 
   // Replica.
   JobTable jobs_;
@@ -682,7 +717,7 @@
   uint64_t sync_generation_ = 0;
   std::map<std::string, Micros> free_since_;  // machines of other shards, candidates for transfer
   Micros next_machine_check_ = 0;
-  bool some_silent_ = false;
+  bool any_machine_silent_ = false;
 };
 
 }  // namespace troutlink
--- a/src/core/fleet/cloud_answers.cc
+++ b/src/core/fleet/cloud_answers.cc
@@ -7,7 +7,7 @@
 std::string_view NameOf(RentalOutcome outcome) {
   switch (outcome) {
     case RentalOutcome::kRented: return "rented";
-    case RentalOutcome::kFilledInPart: return "filled_in_part";
+    case RentalOutcome::kPartiallyFilled: return "filled_in_part";
     case RentalOutcome::kRefused: return "refused";
     case RentalOutcome::kUnknown: return "unknown";
   }
@@ -27,7 +27,7 @@
   if (status == 200) rented = wire::DecodeRented(body);
   if (rented) {
     const bool filled = static_cast<int>(rented->size()) >= asked;
-    return {filled ? RentalOutcome::kRented : RentalOutcome::kFilledInPart, std::move(*rented)};
+    return {filled ? RentalOutcome::kRented : RentalOutcome::kPartiallyFilled, std::move(*rented)};
   }
   if (status == 400 || (status == 503 && body.find("no capacity") != std::string::npos)) {
     return {RentalOutcome::kRefused, {}};
--- a/src/core/fleet/cloud_answers.h
+++ b/src/core/fleet/cloud_answers.h
@@ -18,10 +18,10 @@
 
 // Outcome of a rental request.
 enum class RentalOutcome {
-  kRented,        // all requested instances
-  kFilledInPart,  // fewer: the capacity is exhausted
-  kRefused,       // permanently: no capacity, or an invalid request
-  kUnknown,       // may have been executed: only a retry with the same id tells
+  kRented,           // all requested instances
+  kPartiallyFilled,  // fewer: the capacity is exhausted
+  kRefused,          // permanently: no capacity, or an invalid request
+  kUnknown,          // may have been executed: only a retry with the same id tells
 };
 // For logs and tests.
 std::string_view NameOf(RentalOutcome outcome);
--- a/src/core/fleet/instance_lister.h
+++ b/src/core/fleet/instance_lister.h
@@ -25,14 +25,14 @@
     Micros list_lag = 0;   // maximum age of a list
   };
   // Whether to list again soon, as some instance is silent.
-  using Hurry = std::function<bool()>;
+  using ListSoon = std::function<bool()>;
   // Receives a complete list, whose first page was requested at `asked`.
   using Completed =
       std::function<void(Micros now, Micros asked, const std::vector<ListedMachine>& instances)>;
 
   // `effects` and `cloud_calls` must outlive this object.
-  InstanceLister(const Pacing& pacing, Effects* effects, TokenBucket* cloud_calls, Hurry hurry,
-                 Completed completed);
+  InstanceLister(const Pacing& pacing, Effects* effects, TokenBucket* cloud_calls,
+                 ListSoon list_soon, Completed completed);
 
   // Requests the next page or starts the next list if due and within the call budget. Call at every
   // tick while leading a shard, after its rentals and returns.
@@ -44,21 +44,21 @@
  private:
   void BeginList(Micros now);
   // Requests the page after the instance `after`; empty: the first page.
-  void AskPage(const std::string& after);
+  void RequestPage(const std::string& after);
   void OnPage(Micros now, int status, const std::string& body);
   // Time from the start of a complete list to the start of the next one.
-  Micros Period() const;
+  Micros ListInterval() const;
 
   const Pacing pacing_;
   Effects* const effects_;
   TokenBucket* const cloud_calls_;
-  const Hurry hurry_;
+  const ListSoon list_soon_;
   const Completed completed_;
   std::vector<ListedMachine> instances_;
-  bool reading_ = false;
+  bool list_in_progress_ = false;
   std::string next_page_after_;  // empty: no page is due
   int pages_ = 0;
-  Micros asked_ = 0;  // start of the list
+  Micros list_started_at_ = 0;  // start of the list
   Micros next_list_ = 0;
 };
 
--- a/src/core/fleet/instance_returns.cc
+++ b/src/core/fleet/instance_returns.cc
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr size_t kMaxPerRequest = 100;
-constexpr Micros kRetryPeriod = kSecond;
+constexpr Micros kRetryDelay = kSecond;
 }  // namespace
 
 InstanceReturns::InstanceReturns(Effects* effects, TokenBucket* cloud_calls, Returned returned,
@@ -29,8 +29,9 @@
   if (names.empty() || !cloud_calls_->Take(now, 1)) return;
   for (const std::string& name : names) requests_[name].in_flight = true;
   effects_->Send(Dest::kCloud, "", "POST", wire::ReturnTarget(), wire::EncodeReturn(names),
-                 kCloudTimeout, [this, shard_id, names](Micros t, int status, const std::string&) {
-                   OnAnswer(t, shard_id, names, DecodeReturnAnswer(status));
+                 kCloudTimeout,
+                 [this, shard_id, names](Micros now, int status, const std::string&) {
+                   OnAnswer(now, shard_id, names, DecodeReturnAnswer(status));
                  });
 }
 
@@ -45,7 +46,7 @@
   for (const std::string& name : names) {
     State& state = requests_[name];
     state.in_flight = false;
-    state.retry_at = now + kRetryPeriod;
+    state.retry_at = now + kRetryDelay;
     if (outcome != ReturnOutcome::kConfirmed || !returned_(shard_id, name)) continue;
     confirmed_.insert(name);
   }
@@ -56,7 +57,7 @@
   std::erase_if(confirmed_, [&assigned](const std::string& name) { return !assigned(name); });
 }
 
-void InstanceReturns::Restart(const std::string& name) {
+void InstanceReturns::ForgetInFlight(const std::string& name) {
   auto found = requests_.find(name);
   if (found != requests_.end()) found->second.in_flight = false;
 }
--- a/src/core/fleet/instance_returns.h
+++ b/src/core/fleet/instance_returns.h
@@ -37,7 +37,7 @@
   // Drops confirmations of instances that no table contains any more.
   void DropConfirmed(const std::function<bool(const std::string& name)>& assigned);
   // Forgets a request in flight that was made under another leadership.
-  void Restart(const std::string& name);
+  void ForgetInFlight(const std::string& name);
   // Forgets the instance.
   void Forget(const std::string& name) { requests_.erase(name); }
 
--- a/src/core/fleet/machine_type_catalog.cc
+++ b/src/core/fleet/machine_type_catalog.cc
@@ -10,8 +10,8 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kRefreshPeriod = 60 * kSecond;
-constexpr Micros kRetryPeriod = 2 * kSecond;
+constexpr Micros kRefreshInterval = 60 * kSecond;
+constexpr Micros kRetryDelay = 2 * kSecond;
 }  // namespace
 
 MachineTypeCatalog::MachineTypeCatalog(Effects* effects, TokenBucket* cloud_calls,
@@ -23,12 +23,12 @@
   in_flight_ = true;
   effects_->Send(
       Dest::kCloud, "", "GET", wire::MachineTypesTarget(), "", kCloudTimeout,
-      [this](Micros t, int status, const std::string& body) { OnAnswer(t, status, body); });
+      [this](Micros now, int status, const std::string& body) { OnAnswer(now, status, body); });
 }
 
 void MachineTypeCatalog::OnAnswer(Micros now, int status, const std::string& body) {
   in_flight_ = false;
-  next_refresh_ = now + (status == 200 ? kRefreshPeriod : kRetryPeriod);
+  next_refresh_ = now + (status == 200 ? kRefreshInterval : kRetryDelay);
   if (status != 200) return;
   std::optional<std::vector<MachineType>> types = wire::DecodeMachineTypes(body);
   if (!types || types->empty()) return;
@@ -41,7 +41,7 @@
   if (!stored_.empty() || !take_write_(now)) return;
   stored_ = body;
   StateTxn txn;
-  txn.writes.push_back({std::string(kRoot) + "types", body, 0, false});
+  txn.writes.push_back({std::string(kKeyPrefix) + "types", body, 0, false});
   effects_->Send(Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn),
                  kCloudTimeout, [this](Micros, int status, const std::string&) {
                    if (status != 200) stored_.clear();
--- a/src/core/fleet/offer_backoff.h
+++ b/src/core/fleet/offer_backoff.h
@@ -19,7 +19,7 @@
   // A request for the offer was fully granted.
   void Filled(const OfferKey& offer) { pauses_.erase(offer); }
   // A request was granted in part: the capacity is exhausted.
-  void FilledInPart(Micros now, const OfferKey& offer) { pauses_[offer] = {now + pause_, 1}; }
+  void PartiallyFilled(Micros now, const OfferKey& offer) { pauses_[offer] = {now + pause_, 1}; }
   // A request was refused.
   void Refused(Micros now, const OfferKey& offer) {
     Pause& pause = pauses_[offer];
--- a/src/core/fleet/offer_health.h
+++ b/src/core/fleet/offer_health.h
@@ -14,23 +14,23 @@
 class OfferHealth {
  public:
   // A machine of that offer sent its first heartbeat.
-  void CameUp(Micros now, const OfferKey& offer) { Count(now, offer)->up += 1; }
+  void CameUp(Micros now, const OfferKey& offer) { DecayedCounts(now, offer)->up += 1; }
   // A machine of that offer was declared lost before its first heartbeat.
-  void NeverCameUp(Micros now, const OfferKey& offer) { Count(now, offer)->failed += 1; }
+  void NeverCameUp(Micros now, const OfferKey& offer) { DecayedCounts(now, offer)->failed += 1; }
 
   // Factor by which the price is multiplied to compare offers: 1 without failures, higher with
   // their share. A single failure does not count.
   double PriceFactor(Micros now, const OfferKey& offer) const {
     auto found = boots_.find(offer);
     if (found == boots_.end()) return 1;
-    const Boots boots = Faded(now, found->second);
-    if (boots.failed < kFewFailures) return 1;
+    const Boots boots = Decayed(now, found->second);
+    if (boots.failed < kMinFailures) return 1;
     return 1 + kMaxPenalty * boots.failed / (boots.failed + boots.up);
   }
 
  private:
   static constexpr Micros kHalfLife = 120 * kSecond;
-  static constexpr double kFewFailures =
+  static constexpr double kMinFailures =
       1.5;  // just below the decayed count of two recent failures
   static constexpr double kMaxPenalty = 4;
 
@@ -40,14 +40,14 @@
     Micros at = 0;
   };
 
-  static Boots Faded(Micros now, const Boots& boots) {
+  static Boots Decayed(Micros now, const Boots& boots) {
     const double half_lives = ToSeconds(now - boots.at) / ToSeconds(kHalfLife);
     const double factor = std::exp2(-half_lives);
     return {boots.up * factor, boots.failed * factor, now};
   }
-  Boots* Count(Micros now, const OfferKey& offer) {
+  Boots* DecayedCounts(Micros now, const OfferKey& offer) {
     Boots& boots = boots_[offer];
-    boots = Faded(now, boots);
+    boots = Decayed(now, boots);
     return &boots;
   }
 
--- a/src/core/fleet/offer_selector.h
+++ b/src/core/fleet/offer_selector.h
@@ -24,14 +24,14 @@
       : types_(types), health_(health), backoff_(backoff) {}
 
   // Requirements of one more task of a job.
-  struct Want {
+  struct Requirements {
     const JobSpec& spec;
     const JobSpread& spread;  // of its tasks so far
     bool spot = false;        // spot or on-demand instances
     const std::map<std::string, int>& instances_by_zone;
   };
   // The cheapest suitable offer, if any. Ties are broken by the catalog's order.
-  std::optional<Offer> Cheapest(Micros now, const Want& want) const;
+  std::optional<Offer> Cheapest(Micros now, const Requirements& required) const;
 
  private:
   const MachineTypeCatalog* const types_;
--- a/src/core/fleet/rental_requests.cc
+++ b/src/core/fleet/rental_requests.cc
@@ -7,7 +7,7 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kRetryPeriod = 1500 * kMillisecond;
+constexpr Micros kRetryDelay = 1500 * kMillisecond;
 }  // namespace
 
 RentalRequests::RentalRequests(Effects* effects, TokenBucket* cloud_calls, OfferBackoff* backoff,
@@ -17,27 +17,28 @@
       backoff_(backoff),
       answered_(std::move(answered)) {}
 
-void RentalRequests::Send(Micros now, int shard_id, const RentRequest& ask) {
-  State& state = requests_[ask.request];
+void RentalRequests::Send(Micros now, int shard_id, const RentRequest& request) {
+  State& state = requests_[request.id];
   if (state.in_flight || state.answered || now < state.retry_at) return;
   if (!cloud_calls_->Take(now, 1)) return;
   state.in_flight = true;
-  effects_->Send(Dest::kCloud, "", "POST", wire::RentTarget(), wire::EncodeRent(ask), kCloudTimeout,
-                 [this, shard_id, ask](Micros t, int status, const std::string& body) {
-                   OnAnswer(t, shard_id, ask, DecodeRentalAnswer(status, body, ask.count));
-                 });
+  effects_->Send(
+      Dest::kCloud, "", "POST", wire::RentTarget(), wire::EncodeRent(request), kCloudTimeout,
+      [this, shard_id, request](Micros now, int status, const std::string& body) {
+        OnAnswer(now, shard_id, request, DecodeRentalAnswer(status, body, request.count));
+      });
 }
 
-void RentalRequests::OnAnswer(Micros now, int shard_id, const RentRequest& ask,
+void RentalRequests::OnAnswer(Micros now, int shard_id, const RentRequest& request,
                               const RentalAnswer& answer) {
-  State& state = requests_[ask.request];
+  State& state = requests_[request.id];
   state.in_flight = false;
-  const OfferKey offer{ask.type, ask.zone, ask.spot};
+  const OfferKey offer{request.type, request.zone, request.spot};
   switch (answer.outcome) {
     case RentalOutcome::kRented: backoff_->Filled(offer); break;
-    case RentalOutcome::kFilledInPart: backoff_->FilledInPart(now, offer); break;
+    case RentalOutcome::kPartiallyFilled: backoff_->PartiallyFilled(now, offer); break;
     case RentalOutcome::kRefused: backoff_->Refused(now, offer); break;
-    case RentalOutcome::kUnknown: state.retry_at = now + kRetryPeriod; break;
+    case RentalOutcome::kUnknown: state.retry_at = now + kRetryDelay; break;
   }
   if (answer.definite()) {
     state.answered = true;
--- a/src/core/fleet/rental_requests.h
+++ b/src/core/fleet/rental_requests.h
@@ -30,7 +30,7 @@
 
   // Sends the request unless it is in flight, answered, waiting for a retry, or out of budget. Call
   // for shards that this node leads.
-  void Send(Micros now, int shard_id, const RentRequest& ask);
+  void Send(Micros now, int shard_id, const RentRequest& request);
   // The instances of a request with a definite answer, none if it was refused; null without one.
   const std::vector<std::string>* InstancesOf(const std::string& request) const;
   // Requests the answer again, as another leader may have sent the request meanwhile.
@@ -43,7 +43,7 @@
     std::vector<std::string> instances;
     Micros retry_at = 0;
   };
-  void OnAnswer(Micros now, int shard_id, const RentRequest& ask, const RentalAnswer& answer);
+  void OnAnswer(Micros now, int shard_id, const RentRequest& request, const RentalAnswer& answer);
 
   Effects* const effects_;
   TokenBucket* const cloud_calls_;
--- a/src/core/instances.cc
+++ b/src/core/instances.cc
@@ -6,47 +6,53 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kMachineCheckPeriod = 250 * kMillisecond;
+constexpr Micros kMachineCheckInterval = 250 * kMillisecond;
+constexpr Micros kRemovedInstanceRetention = 60 * kSecond;
+constexpr Micros kAgentStateRetention = 120 * kSecond;
+constexpr int kListLagMargin = 3;  // multiple of the list lag
 }  // namespace
 
 // Reconciles a complete list from the cloud with the machines. The list was requested at `asked`.
 void Core::ReconcileInstances(Micros now, Micros asked,
                               const std::vector<ListedMachine>& instances) {
   std::set<std::string> names;
-  for (const ListedMachine& m : instances) {
-    names.insert(m.name);
-    int shard_id = replica_.ShardOfMachine(m.name);
+  for (const ListedMachine& machine : instances) {
+    names.insert(machine.name);
+    int shard_id = replica_.ShardOfMachine(machine.name);
     if (shard_id < 0) {
-      unknown_instance_since_.try_emplace(m.name, now);
+      unknown_instance_since_.try_emplace(machine.name, now);
       continue;
     }
-    AgentState& info = machines_[m.name];
-    info.listed = true;
-    info.missing = false;
-    info.listed_running = m.state == ListedMachine::State::kRunning;
-    info.failed = m.state == ListedMachine::State::kFailed;
+    AgentState& agent = machines_[machine.name];
+    agent.listed = true;
+    agent.unlisted = false;
+    agent.listed_running = machine.state == ListedMachine::State::kRunning;
+    agent.reported_failed = machine.state == ListedMachine::State::kFailed;
     // A call to a booting machine would hang and delay the first useful one.
-    if (info.addr.empty() && info.listed_running) info.addr = m.addr;
+    if (agent.addr.empty() && agent.listed_running) agent.addr = machine.addr;
   }
   for (const Shard& shard : shards_) {
-    for (const auto& [name, m] : shard.replica.assignments.machines) {
-      AgentState& info = machines_[name];
+    for (const auto& [name, machine] : shard.replica.assignments.machines) {
+      AgentState& agent = machines_[name];
       // Lists can arrive out of order: only a machine that has been up for longer than lists lag
       // can be missing.
-      bool old = info.first_heard != 0 && asked - info.first_heard > 3 * settings_.list_lag;
-      if (old && info.listed && names.count(name) == 0) info.missing = true;
+      bool old = agent.first_heartbeat_at != 0 &&
+                 asked - agent.first_heartbeat_at > kListLagMargin * settings_.list_lag;
+      if (old && agent.listed && names.count(name) == 0) agent.unlisted = true;
     }
   }
-  std::erase_if(removed_instances_, [&](const auto& d) {
-    return now - d.second > 60 * kSecond && names.count(d.first) == 0;
+  std::erase_if(removed_instances_, [&](const auto& removed) {
+    return now - removed.second > kRemovedInstanceRetention && names.count(removed.first) == 0;
   });
-  std::erase_if(unknown_instance_since_, [&](const auto& s) {
-    return names.count(s.first) == 0 && unassigned_agents_.count(s.first) == 0;
+  std::erase_if(unknown_instance_since_, [&](const auto& unknown) {
+    return names.count(unknown.first) == 0 && unassigned_agents_.count(unknown.first) == 0;
   });
-  std::erase_if(machines_, [&](const auto& m) {
-    const bool obsolete = replica_.ShardOfMachine(m.first) < 0 && names.count(m.first) == 0 &&
-                          now - std::max(m.second.heard, m.second.redirected_at) > 120 * kSecond;
-    if (obsolete) instance_returns_.Forget(m.first);
+  std::erase_if(machines_, [&](const auto& machine) {
+    const bool obsolete = replica_.ShardOfMachine(machine.first) < 0 &&
+                          names.count(machine.first) == 0 &&
+                          now - std::max(machine.second.last_heard, machine.second.redirected_at) >
+                              kAgentStateRetention;
+    if (obsolete) instance_returns_.Forget(machine.first);
     return obsolete;
   });
 }
@@ -58,7 +64,7 @@
   for (const std::string& request : requests) {
     auto rental = shard.replica.assignments.rentals.find(request);
     if (rental == shard.replica.assignments.rentals.end()) continue;
-    rental_requests_.Send(now, shard_id, rental->second.ask);
+    rental_requests_.Send(now, shard_id, rental->second.request);
   }
 }
 
@@ -87,26 +93,26 @@
   health_.ForgetMachine(name);
   for (const Attempt& attempt : instance->second.attempts) {
     auto known = attempts_.find(attempt);
-    if (known != attempts_.end()) RecordTaskGone(shard_id, attempt, &known->second);
+    if (known != attempts_.end()) RecordTermination(shard_id, attempt, &known->second);
   }
   return true;
 }
 
-void Core::RunCloud(Micros now) {
+void Core::TickFleet(Micros now) {
   machine_types_.Refresh(now);
   bool any = false;
-  if (now >= next_machine_check_) some_silent_ = false;
+  if (now >= next_machine_check_) any_machine_silent_ = false;
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     const Shard& shard = ShardAt(shard_id);
     if (!shard.leadership.is_leader) continue;
     any = true;
     for (const auto& [request, rental] : shard.replica.assignments.rentals) {
-      rental_requests_.Send(now, shard_id, rental.ask);
+      rental_requests_.Send(now, shard_id, rental.request);
     }
     SendReturns(now, shard_id);
     if (now >= next_machine_check_) CheckMachines(now, shard_id);
   }
-  if (now >= next_machine_check_) next_machine_check_ = now + kMachineCheckPeriod;
+  if (now >= next_machine_check_) next_machine_check_ = now + kMachineCheckInterval;
   // Rentals and returns take precedence over listing.
   if (any && sync_.feed().synced()) instance_lister_.Advance(now);
 }
--- a/src/core/io/token_bucket.h
+++ b/src/core/io/token_bucket.h
@@ -12,33 +12,33 @@
 class TokenBucket {
  public:
   // `per_second`: refill rate. `burst`: capacity. The bucket starts full.
-  TokenBucket(double per_second, double burst) : rate_(per_second), burst_(burst), have_(burst) {}
+  TokenBucket(double per_second, double burst) : rate_(per_second), burst_(burst), tokens_(burst) {}
 
   // Takes `n` tokens if at least `reserve` remain. Returns false, and takes none, otherwise.
-  bool Take(Micros now, double n = 1, double reserve = 0) {
+  bool Take(Micros now, double count = 1, double reserve = 0) {
     Refill(now);
     // A request above the capacity is granted from a full bucket and paid off later.
-    if (have_ < std::min(n + reserve, burst_)) return false;
-    have_ -= n;
+    if (tokens_ < std::min(count + reserve, burst_)) return false;
+    tokens_ -= count;
     return true;
   }
   // Whether `n` tokens are available, without taking them.
-  bool Has(Micros now, double n) {
+  bool Has(Micros now, double count) {
     Refill(now);
-    return have_ >= std::min(n, burst_);
+    return tokens_ >= std::min(count, burst_);
   }
   // Takes tokens even if there are too few; the debt is paid off later.
-  void Force(Micros now, double n = 1) {
+  void Force(Micros now, double count = 1) {
     Refill(now);
-    have_ = std::max(have_ - n, -burst_);
+    tokens_ = std::max(tokens_ - count, -burst_);
   }
   // Empties the bucket, after the service has reported its limit as exceeded.
   void Drain(Micros now) {
     Refill(now);
-    have_ = std::min(have_, 0.0);
+    tokens_ = std::min(tokens_, 0.0);
   }
   // Tokens at the last refill; negative while in debt.
-  double have() const { return have_; }
+  double tokens() const { return tokens_; }
   // Changes the refill rate.
   void SetRate(Micros now, double per_second) {
     if (per_second == rate_) return;
@@ -49,12 +49,12 @@
  private:
   void Refill(Micros now) {
     if (now <= last_) return;
-    if (last_ != 0) have_ = std::min(burst_, have_ + rate_ * ToSeconds(now - last_));
+    if (last_ != 0) tokens_ = std::min(burst_, tokens_ + rate_ * ToSeconds(now - last_));
     last_ = now;
   }
   double rate_;
   double burst_;
-  double have_;
+  double tokens_;
   Micros last_ = 0;
 };
 
--- a/src/core/leadership/heartbeat_exchange.cc
+++ b/src/core/leadership/heartbeat_exchange.cc
@@ -6,8 +6,8 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kPingPeriod = 500 * kMillisecond;
-constexpr Micros kCachedImagesPeriod = 2 * kSecond;
+constexpr Micros kPingInterval = 500 * kMillisecond;
+constexpr Micros kCachedImagesInterval = 2 * kSecond;
 // Maximum entries per message. Together with the maximum of cancellations they stay below the frame
 // limit of the peer transport.
 constexpr size_t kMaxCachedImages = 1000;  // the next message continues with the following machines
@@ -17,15 +17,16 @@
 
 void HeartbeatExchange::Tick(Micros now) {
   if (now < next_pings_) return;
-  next_pings_ = now + kPingPeriod;
+  next_pings_ = now + kPingInterval;
   const std::vector<mesh::CachedImages> cached_images = NextCachedImages(now);
-  for (const auto& [label, peer] : with_.peers->peers()) {
+  for (const auto& [label, peer] : collaborators_.peers->peers()) {
     mesh::HeartbeatRequest ping;
     static_cast<mesh::Heartbeat&>(ping) = MakeHeartbeat(now, peer.replica_revision);
     ping.cached_images = cached_images;
     ping.seq = ++last_ping_;
-    with_.cancellations->PingSent(label, ping.seq, now, with_.source->ReplicaRevision());
-    with_.effects->SendToPeer({label, std::move(ping)});
+    collaborators_.cancellations->PingSent(label, ping.seq, now,
+                                           collaborators_.source->ReplicaRevision());
+    collaborators_.effects->SendToPeer({label, std::move(ping)});
   }
 }
 
@@ -33,20 +34,21 @@
 // next part; receivers keep what they have of the other machines.
 std::vector<mesh::CachedImages> HeartbeatExchange::NextCachedImages(Micros now) {
   if (now < next_cached_images_) return {};
-  next_cached_images_ = now + kCachedImagesPeriod;
-  CachedImagesPage page = with_.source->CachedImagesFrom(cached_images_from_, kMaxCachedImages);
+  next_cached_images_ = now + kCachedImagesInterval;
+  CachedImagesPage page =
+      collaborators_.source->CachedImagesFrom(cached_images_from_, kMaxCachedImages);
   cached_images_from_ = std::move(page.next);
   return std::move(page.images);
 }
 
-mesh::Heartbeat HeartbeatExchange::MakeHeartbeat(Micros now, uint64_t seen) const {
+mesh::Heartbeat HeartbeatExchange::MakeHeartbeat(Micros now, uint64_t replica_revision) const {
   mesh::Heartbeat heartbeat;
-  heartbeat.state_age_us = static_cast<uint64_t>(with_.health->StateAge(now));
-  heartbeat.seen = with_.source->ReplicaRevision();
-  with_.election->FillEpochs(&heartbeat);
-  heartbeat.silent_machines = with_.source->SilentMachines(now, kMaxSilentMachines);
-  with_.cancellations->FillHeartbeat(seen, &heartbeat);
-  with_.election->FillWanted(now, &heartbeat);
+  heartbeat.state_age_us = static_cast<uint64_t>(collaborators_.health->StateAge(now));
+  heartbeat.replica_revision = collaborators_.source->ReplicaRevision();
+  collaborators_.election->FillEpochs(&heartbeat);
+  heartbeat.silent_machines = collaborators_.source->SilentMachines(now, kMaxSilentMachines);
+  collaborators_.cancellations->FillHeartbeat(replica_revision, &heartbeat);
+  collaborators_.election->FillWantedShards(now, &heartbeat);
   return heartbeat;
 }
 
@@ -54,29 +56,29 @@
                                const mesh::HeartbeatRequest& ping) {
   OnHeartbeat(now, from, ping);
   mesh::HeartbeatReply pong;
-  static_cast<mesh::Heartbeat&>(pong) = MakeHeartbeat(now, ping.seen);
+  static_cast<mesh::Heartbeat&>(pong) = MakeHeartbeat(now, ping.replica_revision);
   pong.seq = ping.seq;
-  with_.effects->SendToPeer({from, std::move(pong)});
+  collaborators_.effects->SendToPeer({from, std::move(pong)});
 }
 
 void HeartbeatExchange::OnPong(Micros now, const std::string& from,
                                const mesh::HeartbeatReply& pong) {
   OnHeartbeat(now, from, pong);
-  with_.cancellations->PongReceived(from, pong);
+  collaborators_.cancellations->PongReceived(from, pong);
 }
 
 void HeartbeatExchange::OnHeartbeat(Micros now, const std::string& from,
                                     const mesh::Heartbeat& heartbeat) {
-  with_.peers->NoteHeartbeat(now, from, heartbeat);
-  with_.election->OnEpochsReported(now, heartbeat.epochs);
-  for (const std::string& job : heartbeat.cancels) {
-    with_.listener->OnCancellationReported(now, job);
+  collaborators_.peers->NoteHeartbeat(now, from, heartbeat);
+  collaborators_.election->OnEpochsReported(now, heartbeat.epochs);
+  for (const std::string& job : heartbeat.cancelled_jobs) {
+    collaborators_.listener->OnCancellationReported(now, job);
   }
   for (const mesh::CachedImages& cached : heartbeat.cached_images) {
-    with_.listener->OnCachedImagesReported(now, cached);
+    collaborators_.listener->OnCachedImagesReported(now, cached);
   }
   OnSilentMachines(now, from, heartbeat.silent_machines);
-  with_.election->OnShardsWanted(now, from, heartbeat.wanted);
+  collaborators_.election->OnShardsWanted(now, from, heartbeat.wanted_shards);
 }
 
 void HeartbeatExchange::OnSilentMachines(Micros now, const std::string& from,
@@ -84,13 +86,14 @@
   std::set<std::string> silent_machines;
   for (const mesh::SilentMachine& silent : reported) {
     const auto span = static_cast<Micros>(std::min(silent.silent_us, kMaxSilence));
-    if (with_.listener->OnMachineSilent(now, silent.machine, span)) {
+    if (collaborators_.listener->OnMachineSilent(now, silent.machine, span)) {
       silent_machines.insert(silent.machine);
     }
   }
   // Machines that their leader hears again must not count as silent after a failover.
-  for (const std::string& name : with_.peers->ExchangeSilentMachines(from, silent_machines)) {
-    if (silent_machines.count(name) == 0) with_.listener->OnMachineHeardAgain(name);
+  for (const std::string& name :
+       collaborators_.peers->ExchangeSilentMachines(from, silent_machines)) {
+    if (silent_machines.count(name) == 0) collaborators_.listener->OnMachineHeardAgain(name);
   }
 }
 
--- a/src/core/leadership/heartbeat_exchange.h
+++ b/src/core/leadership/heartbeat_exchange.h
@@ -35,13 +35,13 @@
   };
   // Pings are numbered from `first_ping` + 1. The range must differ from that of earlier processes
   // of this node, whose late answers could otherwise be mistaken for answers to this one.
-  HeartbeatExchange(uint64_t first_ping, Collaborators with)
-      : last_ping_(first_ping), with_(with) {}
+  HeartbeatExchange(uint64_t first_ping, Collaborators collaborators)
+      : last_ping_(first_ping), collaborators_(collaborators) {}
 
   // Sends pings if they are due. Call at every tick.
   void Tick(Micros now);
   // Makes the next tick send pings, to pass on a cancellation before its user learns of it.
-  void SendSoon(Micros now) { next_pings_ = now; }
+  void SendNextTick(Micros now) { next_pings_ = now; }
 
   // Answers a ping from the peer `from`, which must be in the peer table.
   void OnPing(Micros now, const std::string& from, const mesh::HeartbeatRequest& ping);
@@ -51,7 +51,7 @@
  private:
   std::vector<mesh::CachedImages> NextCachedImages(Micros now);
   // `seen`: revision up to which the receiver's replica is complete.
-  mesh::Heartbeat MakeHeartbeat(Micros now, uint64_t seen) const;
+  mesh::Heartbeat MakeHeartbeat(Micros now, uint64_t replica_revision) const;
   void OnHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
   void OnSilentMachines(Micros now, const std::string& from,
                         const std::vector<mesh::SilentMachine>& reported);
@@ -60,7 +60,7 @@
   Micros next_pings_ = 0;
   Micros next_cached_images_ = 0;
   MachineCursor cached_images_from_;  // start of the next page
-  const Collaborators with_;
+  const Collaborators collaborators_;
 };
 
 }  // namespace troutlink
--- a/src/core/leadership/leader_election.cc
+++ b/src/core/leadership/leader_election.cc
@@ -10,15 +10,15 @@
 
 namespace {
 constexpr Micros kStateTimeout = 1500 * kMillisecond;
-constexpr Micros kElectionPause = 100 * kMillisecond;  // doubled for each consecutive conflict
-constexpr int kElectionDoublings = 4;
+constexpr Micros kElectionBackoff = 100 * kMillisecond;  // doubled for each consecutive conflict
+constexpr int kMaxElectionDoublings = 4;
 constexpr int kConflictsBeforeList = 4;
-constexpr Micros kElectionTurn = 600 * kMillisecond;  // between consecutive nodes of the ring
-constexpr Micros kStartPeriod = 5 * kSecond;          // all nodes of a deployment start within it
-constexpr Micros kStartDelay = 3 * kSecond;
-constexpr Micros kPauseAfterLoss = 200 * kMillisecond;
-constexpr Micros kPauseAfterFailback = 3 * kSecond;
-constexpr Micros kLeastTerm = 5 * kSecond;  // before a failback
+constexpr Micros kElectionStagger = 600 * kMillisecond;  // between consecutive nodes of the ring
+constexpr Micros kStartupPeriod = 5 * kSecond;  // all nodes of a deployment start within it
+constexpr Micros kStartupDelay = 3 * kSecond;
+constexpr Micros kElectionDelayAfterLoss = 200 * kMillisecond;
+constexpr Micros kElectionDelayAfterFailback = 3 * kSecond;
+constexpr Micros kMinTerm = 5 * kSecond;  // before a failback
 }  // namespace
 
 std::string_view NameOf(LossReason reason) {
@@ -32,8 +32,8 @@
   return "";
 }
 
-LeaderElection::LeaderElection(Config config, Collaborators with)
-    : config_(std::move(config)), with_(with), shards_(config_.labels.size()) {}
+LeaderElection::LeaderElection(Config config, Collaborators collaborators)
+    : config_(std::move(config)), collaborators_(collaborators), shards_(config_.labels.size()) {}
 
 int LeaderElection::LedShards() const {
   return static_cast<int>(
@@ -44,17 +44,17 @@
 std::string LeaderElection::LeaderOf(int shard_id) const {
   const ShardLeadership& leadership = Of(shard_id);
   if (leadership.is_leader) return config_.label;
-  const uint64_t version = with_.store->LeadershipVersion(shard_id);
+  const uint64_t version = collaborators_.store->LeadershipVersion(shard_id);
   if (version != 0 && version >= leadership.rival_epoch) {
-    return with_.store->LeadershipRecord(shard_id).leader;
+    return collaborators_.store->LeadershipRecord(shard_id).leader;
   }
   return leadership.Superseded() ? leadership.rival_leader : "";
 }
 
 void LeaderElection::Tick(Micros now) {
-  if (!with_.lease->held()) return;
+  if (!collaborators_.lease->held()) return;
   for (int shard_id = 0; shard_id < shard_count(); ++shard_id) {
-    if (!Of(shard_id).acquiring) RunForLeadership(now, shard_id);
+    if (!Of(shard_id).election_in_flight) RunForLeadership(now, shard_id);
   }
 }
 
@@ -64,7 +64,7 @@
     CheckOwnRecord(now, shard_id);
     return;
   }
-  if (with_.store->LeadershipVersion(shard_id) != 0) {
+  if (collaborators_.store->LeadershipVersion(shard_id) != 0) {
     Reclaim(now, shard_id);
     return;
   }
@@ -76,24 +76,25 @@
 }
 
 bool LeaderElection::HeldByThisProcess(int shard_id) const {
-  const Leadership& record = with_.store->LeadershipRecord(shard_id);
+  const Leadership& record = collaborators_.store->LeadershipRecord(shard_id);
   return record.leader == config_.label && record.boot == config_.boot;
 }
 
 void LeaderElection::CheckOwnRecord(Micros now, int shard_id) {
   const ShardLeadership& leadership = Of(shard_id);
-  const uint64_t version = with_.store->LeadershipVersion(shard_id);
+  const uint64_t version = collaborators_.store->LeadershipVersion(shard_id);
   if (HeldByThisProcess(shard_id) && version > leadership.epoch) {
     BecomeLeader(now, shard_id, version);  // the answer to an election was lost
-  } else if (with_.store->NeedsTableMigration(shard_id) && !with_.store->CommitInFlight(shard_id) &&
-             !leadership.releasing && now >= leadership.no_election_before) {
+  } else if (collaborators_.store->NeedsTableMigration(shard_id) &&
+             !collaborators_.store->CommitInFlight(shard_id) && !leadership.failback_in_flight &&
+             now >= leadership.no_election_before) {
     SendElection(now, shard_id);
   }
 }
 
 void LeaderElection::Reclaim(Micros now, int shard_id) {
-  if (with_.store->LeadershipRecord(shard_id).leader != config_.label) return;
-  const uint64_t version = with_.store->LeadershipVersion(shard_id);
+  if (collaborators_.store->LeadershipRecord(shard_id).leader != config_.label) return;
+  const uint64_t version = collaborators_.store->LeadershipVersion(shard_id);
   if (!HeldByThisProcess(shard_id)) {
     SendElection(now, shard_id);  // the record is of an earlier process of this node
   } else if (version > Of(shard_id).epoch) {
@@ -103,20 +104,20 @@
 }
 
 Micros LeaderElection::ElectionDelay(Micros now, int shard_id) const {
-  const int distance = (config_.own_shard - shard_id + shard_count()) % shard_count();
+  const int distance = (config_.home_shard - shard_id + shard_count()) % shard_count();
   if (distance == 0) return 0;
-  const Micros turn = (distance - 1) * kElectionTurn;
+  const Micros turn = (distance - 1) * kElectionStagger;
   // When all nodes start together, each should win its own shard.
-  return now - config_.started < kStartPeriod ? turn + kStartDelay : turn;
+  return now - config_.started < kStartupPeriod ? turn + kStartupDelay : turn;
 }
 
 void LeaderElection::SendElection(Micros now, int shard_id) {
-  if (!with_.writes->Take(now, 1)) return;
-  At(shard_id).acquiring = true;
+  if (!collaborators_.writes->Take(now, 1)) return;
+  At(shard_id).election_in_flight = true;
   StateTxn txn = ElectionTxn(shard_id);
-  with_.observer->OnWritesSent(txn.writes.size());
+  collaborators_.observer->OnWritesSent(txn.writes.size());
   std::string body = wire::EncodeTxn(txn);
-  with_.effects->Send(
+  collaborators_.effects->Send(
       Dest::kState, "", "POST", wire::CommitTarget(), std::move(body), kStateTimeout,
       [this, shard_id, writes = std::move(txn.writes)](Micros answered, int status,
                                                        const std::string& answer) {
@@ -128,10 +129,11 @@
 // transaction, so that older decisions can no longer be committed.
 StateTxn LeaderElection::ElectionTxn(int shard_id) const {
   StateTxn txn;
-  txn.conditions.push_back({LeadershipKey(shard_id), with_.store->LeadershipVersion(shard_id)});
-  with_.store->AddElectionTerms(shard_id, &txn);
+  txn.conditions.push_back(
+      {LeadershipKey(shard_id), collaborators_.store->LeadershipVersion(shard_id)});
+  collaborators_.store->AddElectionRequirements(shard_id, &txn);
   txn.writes.push_back({LeadershipKey(shard_id), EncodeLeadership({config_.label, config_.boot}),
-                        with_.lease->id(), false});
+                        collaborators_.lease->id(), false});
   return txn;
 }
 
@@ -139,17 +141,17 @@
                                         const std::vector<StateWrite>& writes,
                                         const CommitAnswer& answer) {
   ShardLeadership& leadership = At(shard_id);
-  leadership.acquiring = false;
-  if (answer.revision) with_.health->NoteStateAnswer(now);
+  leadership.election_in_flight = false;
+  if (answer.revision) collaborators_.health->NoteStateAnswer(now);
   if (answer.outcome == TransactionOutcome::kCommitted && answer.revision) {
-    with_.store->ApplyCommitted(now, writes, *answer.revision);
+    collaborators_.store->ApplyCommitted(now, writes, *answer.revision);
     if (!leadership.is_leader || leadership.epoch < *answer.revision) {
       BecomeLeader(now, shard_id, *answer.revision);
     }
     return;
   }
   if (answer.outcome == TransactionOutcome::kRefused)
-    with_.lease->Drop();  // no such lease: get a new one
+    collaborators_.lease->Drop();  // no such lease: get a new one
   BackOff(now, shard_id, answer.outcome);
 }
 
@@ -159,44 +161,47 @@
 void LeaderElection::BackOff(Micros now, int shard_id, TransactionOutcome outcome) {
   ShardLeadership& leadership = At(shard_id);
   if (outcome != TransactionOutcome::kConflict) {
-    leadership.no_election_before = now + kElectionPause;
+    leadership.no_election_before = now + kElectionBackoff;
     return;
   }
-  const int doublings = std::min(leadership.election_conflicts++, kElectionDoublings);
-  leadership.no_election_before = now + (kElectionPause << doublings);
-  if (leadership.election_conflicts % kConflictsBeforeList == 0) with_.store->RequestList();
+  const int doublings = std::min(leadership.election_conflicts++, kMaxElectionDoublings);
+  leadership.no_election_before = now + (kElectionBackoff << doublings);
+  if (leadership.election_conflicts % kConflictsBeforeList == 0)
+    collaborators_.store->RequestList();
 }
 
 void LeaderElection::BecomeLeader(Micros now, int shard_id, uint64_t revision) {
   ShardLeadership& leadership = At(shard_id);
   if (revision <= leadership.epoch) {
-    with_.observer->OnEpochFell(shard_id, leadership.epoch, revision);
+    collaborators_.observer->OnEpochRegressed(shard_id, leadership.epoch, revision);
     return;
   }
   leadership.is_leader = true;
   leadership.epoch = revision;
   leadership.elected_at = now;
-  leadership.releasing = false;
-  with_.observer->OnElected(now, shard_id);
+  leadership.failback_in_flight = false;
+  collaborators_.observer->OnElected(now, shard_id);
 }
 
-void LeaderElection::Lose(Micros now, int shard_id, LossReason reason) {
+void LeaderElection::LoseLeadership(Micros now, int shard_id, LossReason reason) {
   ShardLeadership& leadership = At(shard_id);
   leadership.is_leader = false;
-  leadership.no_election_before = std::max(leadership.no_election_before, now + kPauseAfterLoss);
-  with_.effects->Log(LogLine::Level::kInfo, Event("leadership_lost")
-                                                .With("shard", shard_id)
-                                                .With("epoch", leadership.epoch)
-                                                .With("rival_epoch", leadership.rival_epoch)
-                                                .WithSpan("led_ms", now - leadership.elected_at)
-                                                .With("why", NameOf(reason))
-                                                .text());
-  with_.observer->OnLeadershipLost(now, shard_id, reason);
+  leadership.no_election_before =
+      std::max(leadership.no_election_before, now + kElectionDelayAfterLoss);
+  collaborators_.effects->Log(LogLine::Level::kInfo,
+                              Event("leadership_lost")
+                                  .With("shard", shard_id)
+                                  .With("epoch", leadership.epoch)
+                                  .With("rival_epoch", leadership.rival_epoch)
+                                  .WithSpan("led_ms", now - leadership.elected_at)
+                                  .With("why", NameOf(reason))
+                                  .text());
+  collaborators_.observer->OnLeadershipLost(now, shard_id, reason);
 }
 
 void LeaderElection::OnSessionLeaseEnded(Micros now) {
   for (int shard_id = 0; shard_id < shard_count(); ++shard_id) {
-    if (IsLeader(shard_id)) Lose(now, shard_id, LossReason::kLeaseEnded);
+    if (IsLeader(shard_id)) LoseLeadership(now, shard_id, LossReason::kLeaseEnded);
   }
 }
 
@@ -212,7 +217,7 @@
     leadership.rival_leader = record.leader;
   }
   if (leadership.is_leader && version > leadership.epoch) {
-    Lose(now, shard_id, LossReason::kRivalElected);
+    LoseLeadership(now, shard_id, LossReason::kRivalElected);
   }
 }
 
@@ -221,7 +226,7 @@
   leadership.leaderless_since = now;
   // The record no longer names a leader.
   if (leadership.rival_epoch <= revision) leadership.rival_leader.clear();
-  if (leadership.is_leader) Lose(now, shard_id, LossReason::kRecordExpired);
+  if (leadership.is_leader) LoseLeadership(now, shard_id, LossReason::kRecordExpired);
 }
 
 void LeaderElection::FillEpochs(mesh::Heartbeat* heartbeat) const {
@@ -243,19 +248,20 @@
     leadership.rival_epoch = reported.revision;
     leadership.rival_leader = reported.leader;
     if (leadership.is_leader && reported.revision > leadership.epoch) {
-      Lose(now, static_cast<int>(reported.shard_id), LossReason::kRivalReported);
+      LoseLeadership(now, static_cast<int>(reported.shard_id), LossReason::kRivalReported);
     }
   }
 }
 
-bool LeaderElection::WantsOwnShard(Micros now) const {
-  return with_.store->Synced() && !IsLeader(config_.own_shard) &&
-         with_.store->LeadershipVersion(config_.own_shard) != 0 &&
-         with_.health->HealthyFor(now, config_.failback_after);
+bool LeaderElection::WantsFailback(Micros now) const {
+  return collaborators_.store->Synced() && !IsLeader(config_.home_shard) &&
+         collaborators_.store->LeadershipVersion(config_.home_shard) != 0 &&
+         collaborators_.health->HealthyFor(now, config_.failback_after);
 }
 
-void LeaderElection::FillWanted(Micros now, mesh::Heartbeat* heartbeat) const {
-  if (WantsOwnShard(now)) heartbeat->wanted.push_back(static_cast<uint64_t>(config_.own_shard));
+void LeaderElection::FillWantedShards(Micros now, mesh::Heartbeat* heartbeat) const {
+  if (WantsFailback(now))
+    heartbeat->wanted_shards.push_back(static_cast<uint64_t>(config_.home_shard));
 }
 
 void LeaderElection::OnShardsWanted(Micros now, const std::string& from,
@@ -263,46 +269,47 @@
   for (const uint64_t wanted : shards) {
     if (wanted >= config_.labels.size() || config_.labels[wanted] != from) continue;
     const int shard_id = static_cast<int>(wanted);
-    if (MayRelease(now, shard_id) && with_.writes->Take(now, 1)) Release(shard_id);
+    if (MayFailBack(now, shard_id) && collaborators_.writes->Take(now, 1)) StartFailback(shard_id);
   }
 }
 
-bool LeaderElection::MayRelease(Micros now, int shard_id) const {
+bool LeaderElection::MayFailBack(Micros now, int shard_id) const {
   const ShardLeadership& leadership = Of(shard_id);
-  if (!leadership.is_leader || leadership.releasing || with_.store->CommitInFlight(shard_id) ||
-      !with_.health->StateFresh(now)) {
+  if (!leadership.is_leader || leadership.failback_in_flight ||
+      collaborators_.store->CommitInFlight(shard_id) || !collaborators_.health->StateFresh(now)) {
     return false;
   }
   const Micros term = now - leadership.elected_at;
-  if (term < kLeastTerm) return false;
+  if (term < kMinTerm) return false;
   // No failback while many machines are silent, as the new leader would have to detect their
   // failures again; but do not delay it indefinitely.
-  return !with_.store->ManyMachinesSilent(shard_id) || term >= 2 * config_.cancel;
+  return !collaborators_.store->ManyMachinesSilent(shard_id) ||
+         term >= 2 * config_.cancellation_deadline;
 }
 
-void LeaderElection::Release(int shard_id) {
+void LeaderElection::StartFailback(int shard_id) {
   ShardLeadership& leadership = At(shard_id);
-  leadership.releasing = true;
+  leadership.failback_in_flight = true;
   StateTxn txn;
   txn.conditions.push_back({LeadershipKey(shard_id), leadership.epoch});
   txn.writes.push_back({LeadershipKey(shard_id), "", 0, true});
-  with_.observer->OnWritesSent(txn.writes.size());
-  with_.effects->Send(
+  collaborators_.observer->OnWritesSent(txn.writes.size());
+  collaborators_.effects->Send(
       Dest::kState, "", "POST", wire::CommitTarget(), wire::EncodeTxn(txn), kStateTimeout,
       [this, shard_id, epoch = leadership.epoch](Micros answered, int status,
                                                  const std::string& body) {
-        OnReleaseAnswered(answered, shard_id, epoch, DecodeCommitAnswer(status, body));
+        OnFailbackAnswered(answered, shard_id, epoch, DecodeCommitAnswer(status, body));
       });
 }
 
-void LeaderElection::OnReleaseAnswered(Micros now, int shard_id, uint64_t epoch,
-                                       const CommitAnswer& answer) {
+void LeaderElection::OnFailbackAnswered(Micros now, int shard_id, uint64_t epoch,
+                                        const CommitAnswer& answer) {
   ShardLeadership& leadership = At(shard_id);
-  leadership.releasing = false;
+  leadership.failback_in_flight = false;
   const bool current = leadership.is_leader && leadership.epoch == epoch;
   if (answer.outcome != TransactionOutcome::kCommitted || !current) return;
-  leadership.no_election_before = now + kPauseAfterFailback;
-  Lose(now, shard_id, LossReason::kFailback);
+  leadership.no_election_before = now + kElectionDelayAfterFailback;
+  LoseLeadership(now, shard_id, LossReason::kFailback);
 }
 
 }  // namespace troutlink
--- a/src/core/leadership/leader_election.h
+++ b/src/core/leadership/leader_election.h
@@ -28,12 +28,12 @@
  public:
   // Fixed at the start of the process; times in microseconds.
   struct Config {
-    std::string label;                // of this node
-    std::vector<std::string> labels;  // of all nodes; the index is the node's home shard
-    int own_shard = 0;                // home shard of this node
-    uint64_t boot = 0;                // identifies this incarnation of the process
-    Micros started = 0;               // start time of this process
-    Micros cancel = 0;                // deadline for stopping the tasks of a cancelled job
+    std::string label;                 // of this node
+    std::vector<std::string> labels;   // of all nodes; the index is the node's home shard
+    int home_shard = 0;                // home shard of this node
+    uint64_t boot = 0;                 // identifies this incarnation of the process
+    Micros started = 0;                // start time of this process
+    Micros cancellation_deadline = 0;  // deadline for stopping the tasks of a cancelled job
     Micros failback_after = 0;  // time that this node must be healthy before it requests its shard
   };
   // Must outlive the election. Elections and failbacks are charged to `writes`.
@@ -45,7 +45,7 @@
     LeadershipStore* store;
     LeadershipObserver* observer;
   };
-  LeaderElection(Config config, Collaborators with);
+  LeaderElection(Config config, Collaborators collaborators);
 
   // The shard must exist. The reference stays valid.
   const ShardLeadership& Of(int shard_id) const { return shards_[static_cast<size_t>(shard_id)]; }
@@ -71,7 +71,7 @@
   // Adds the known epochs to a heartbeat.
   void FillEpochs(mesh::Heartbeat* heartbeat) const;
   // Requests this node's home shard in a heartbeat if it is due for failback.
-  void FillWanted(Micros now, mesh::Heartbeat* heartbeat) const;
+  void FillWantedShards(Micros now, mesh::Heartbeat* heartbeat) const;
   // Ends leaderships with a lower epoch than a peer reports.
   void OnEpochsReported(Micros now, const std::vector<mesh::ShardEpoch>& epochs);
   // Handles failback requests of the peer `from`; only its home shard is released.
@@ -82,7 +82,7 @@
   ShardLeadership& At(int shard_id) { return shards_[static_cast<size_t>(shard_id)]; }
   bool HeldByThisProcess(int shard_id) const;
   // Whether another node leads the home shard and this node is healthy enough to take it back.
-  bool WantsOwnShard(Micros now) const;
+  bool WantsFailback(Micros now) const;
 
   void RunForLeadership(Micros now, int shard_id);
   // Handles a newer record of this process, or a due migration of the table, for a shard that it
@@ -98,14 +98,14 @@
                           const CommitAnswer& answer);
   void BackOff(Micros now, int shard_id, TransactionOutcome outcome);
   void BecomeLeader(Micros now, int shard_id, uint64_t revision);
-  void Lose(Micros now, int shard_id, LossReason reason);
+  void LoseLeadership(Micros now, int shard_id, LossReason reason);
 
-  bool MayRelease(Micros now, int shard_id) const;
-  void Release(int shard_id);
-  void OnReleaseAnswered(Micros now, int shard_id, uint64_t epoch, const CommitAnswer& answer);
+  bool MayFailBack(Micros now, int shard_id) const;
+  void StartFailback(int shard_id);
+  void OnFailbackAnswered(Micros now, int shard_id, uint64_t epoch, const CommitAnswer& answer);
 
   const Config config_;
-  const Collaborators with_;
+  const Collaborators collaborators_;
   std::vector<ShardLeadership> shards_;
 };
 
--- a/src/core/leadership/leadership_observer.h
+++ b/src/core/leadership/leadership_observer.h
@@ -29,7 +29,7 @@
   virtual void OnElected(Micros now, int shard_id) = 0;
   // An election was committed at a revision that is not above this node's epoch, which violates an
   // invariant. The leadership is unchanged.
-  virtual void OnEpochFell(int shard_id, uint64_t epoch, uint64_t revision) = 0;
+  virtual void OnEpochRegressed(int shard_id, uint64_t epoch, uint64_t revision) = 0;
   // This node no longer leads the shard. Its epoch is kept.
   virtual void OnLeadershipLost(Micros now, int shard_id, LossReason reason) = 0;
   // A transaction with this number of writes was sent to the key-value store.
--- a/src/core/leadership/leadership_store.h
+++ b/src/core/leadership/leadership_store.h
@@ -27,7 +27,7 @@
   virtual bool NeedsTableMigration(int shard_id) const = 0;
   // Adds the condition that the table is the one in the replica, and the writes that a new leader
   // requires.
-  virtual void AddElectionTerms(int shard_id, StateTxn* txn) const = 0;
+  virtual void AddElectionRequirements(int shard_id, StateTxn* txn) const = 0;
   // Whether a commit of the shard's scheduler is in flight.
   virtual bool CommitInFlight(int shard_id) const = 0;
   // Whether many of the shard's machines are silent, which a new leader would have to detect again.
--- a/src/core/leadership/peer_table.cc
+++ b/src/core/leadership/peer_table.cc
@@ -26,7 +26,7 @@
                               const mesh::Heartbeat& heartbeat) {
   Peer& peer = peers_.at(label);
   peer.last_heard = now;
-  peer.replica_revision = heartbeat.seen;
+  peer.replica_revision = heartbeat.replica_revision;
   peer.state_age = static_cast<Micros>(std::min(heartbeat.state_age_us, kMaxStateAge));
   peer.led_shards.clear();
   for (const mesh::ShardEpoch& epoch : heartbeat.epochs) {
--- a/src/core/leadership/permits.cc
+++ b/src/core/leadership/permits.cc
@@ -17,7 +17,7 @@
     case Refusal::kNotAssigned: return "not_assigned";
     case Refusal::kJobUnknown: return "job_unknown";
     case Refusal::kJobBlocked: return "job_blocked";
-    case Refusal::kJobOver: return "job_over";
+    case Refusal::kJobFinished: return "job_over";
     case Refusal::kProcessPaused: return "stood_still";
     case Refusal::kCancellationsStale: return "cancellations_stale";
     case Refusal::kReplicaStale: return "replica_stale";
@@ -31,7 +31,7 @@
     case Violation::kStartUnassigned: return "start_unassigned";
     case Violation::kStartBlocked: return "start_blocked";
     case Violation::kRenewalWithoutStop: return "renewal_without_stop";
-    case Violation::kEpochFell: return "epoch_fell";
+    case Violation::kEpochRegressed: return "epoch_fell";
   }
   return "";
 }
@@ -42,7 +42,7 @@
     case Refusal::kNotAssigned: return Violation::kStartUnassigned;
     case Refusal::kJobBlocked: return Violation::kStartBlocked;
     case Refusal::kJobUnknown:
-    case Refusal::kJobOver:
+    case Refusal::kJobFinished:
     case Refusal::kProcessPaused:
     case Refusal::kCancellationsStale:
     case Refusal::kReplicaStale: break;
@@ -50,14 +50,14 @@
   return std::nullopt;
 }
 
-Result<StartPermit, Refusal> StartFacts::Judge() const {
+Result<StartPermit, Refusal> StartFacts::Evaluate() const {
   if (!is_leader) return Refuse(Refusal::kNotLeader);
   if (!assigned) return Refuse(Refusal::kNotAssigned);
   switch (job_state) {
     case KnownJobState::kUnknown: return Refuse(Refusal::kJobUnknown);
     case KnownJobState::kBlocked: return Refuse(Refusal::kJobBlocked);
     case KnownJobState::kCancelled:
-    case KnownJobState::kDone: return Refuse(Refusal::kJobOver);
+    case KnownJobState::kDone: return Refuse(Refusal::kJobFinished);
     case KnownJobState::kOpen: break;
   }
   // Messages that arrived during the pause, such as the loss of the leadership or a cancellation,
@@ -67,15 +67,15 @@
   return StartPermit();
 }
 
-Result<RenewalPermit, Refusal> RenewalFacts::Judge() const {
+Result<RenewalPermit, Refusal> RenewalFacts::Evaluate() const {
   if (now + allowance >= cancellations_bound) return Refuse(Refusal::kCancellationsStale);
   return RenewalPermit();
 }
 
-Result<OpenAnswerPermit, Refusal> OpenAnswerFacts::Judge() const {
+Result<OpenAnswerPermit, Refusal> OpenAnswerFacts::Evaluate() const {
   if (job_state == KnownJobState::kUnknown) return Refuse(Refusal::kJobUnknown);
-  if (IsOver(job_state)) return Refuse(Refusal::kJobOver);
-  if (has_dependencies && replica_age >= most_age) return Refuse(Refusal::kReplicaStale);
+  if (IsFinished(job_state)) return Refuse(Refusal::kJobFinished);
+  if (has_dependencies && replica_age >= max_age) return Refuse(Refusal::kReplicaStale);
   return OpenAnswerPermit();
 }
 
--- a/src/core/leadership/permits.h
+++ b/src/core/leadership/permits.h
@@ -25,7 +25,7 @@
   kNotAssigned,         // no assignment table in the replica contains the attempt
   kJobUnknown,          // the replica does not contain the job
   kJobBlocked,          // a dependency is not done
-  kJobOver,             // the job is cancelled or done
+  kJobFinished,         // the job is cancelled or done
   kProcessPaused,       // the process was paused and has not ticked since
   kCancellationsStale,  // a peer may have confirmed a cancellation that is unknown here
   kReplicaStale,        // the replica may lack a cancellation that users know of
@@ -51,7 +51,7 @@
   Micros cancellations_bound =
       0;  // until then every unknown cancellation can still be enforced in time
 
-  Result<StartPermit, Refusal> Judge() const;
+  Result<StartPermit, Refusal> Evaluate() const;
 };
 
 // Permission to renew an agent's lease and so to keep all its reported tasks running.
@@ -68,7 +68,7 @@
   Micros cancellations_bound = 0;
   Micros allowance = 0;
 
-  Result<RenewalPermit, Refusal> Judge() const;
+  Result<RenewalPermit, Refusal> Evaluate() const;
 };
 
 // Permission to report a job as queued or running.
@@ -84,10 +84,10 @@
   KnownJobState job_state = KnownJobState::kUnknown;
   bool has_dependencies = false;
   Micros replica_age = 0;
-  Micros most_age =
+  Micros max_age =
       0;  // maximum replica age at which no cancellation that users know of can be missing
 
-  Result<OpenAnswerPermit, Refusal> Judge() const;
+  Result<OpenAnswerPermit, Refusal> Evaluate() const;
 };
 
 // Violated invariants. The action is not carried out, and the process continues. kViolations is
@@ -97,7 +97,7 @@
   kStartUnassigned,
   kStartBlocked,
   kRenewalWithoutStop,  // a reply that renews a lease lacked the stop of a finished task
-  kEpochFell,           // an election at a revision that is not above the previous epoch
+  kEpochRegressed,      // an election at a revision that is not above the previous epoch
 };
 inline constexpr size_t kViolations = 5;
 // As in logs and metrics.
@@ -108,7 +108,7 @@
 
 // Counter for each value of an enumeration.
 template <typename Kind, size_t Kinds>
-class Tally {
+class EnumCounter {
  public:
   void Add(Kind kind) { ++counts_[static_cast<size_t>(kind)]; }
   uint64_t Of(Kind kind) const { return counts_[static_cast<size_t>(kind)]; }
--- a/src/core/leadership/readiness.cc
+++ b/src/core/leadership/readiness.cc
@@ -3,7 +3,7 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kPeerReachableFor = 1500 * kMillisecond;
+constexpr Micros kPeerReachableWindow = 1500 * kMillisecond;
 }  // namespace
 
 bool IsReady(Micros now, bool replica_synced, const NodeHealth& health, const PeerTable& peers) {
@@ -11,7 +11,7 @@
   if (health.StateFresh(now)) return true;
   // Without the key-value store a peer can still decide for this node; if no node reaches it, no
   // other node is a better choice. Only an isolated node is not ready.
-  return peers.AnyHeardWithin(now, kPeerReachableFor) || peers.peers().empty();
+  return peers.AnyHeardWithin(now, kPeerReachableWindow) || peers.peers().empty();
 }
 
 }  // namespace troutlink
--- a/src/core/leadership/session_lease.cc
+++ b/src/core/leadership/session_lease.cc
@@ -4,15 +4,15 @@
 
 void SessionLease::GrantAnswered(Micros now, std::optional<uint64_t> id) {
   in_flight_ = false;
-  next_call_ = now + (id ? life_ / 4 : kGrantPause);
+  next_call_ = now + (id ? ttl_ / 4 : kGrantPause);
   if (id) id_ = *id;
 }
 
-SessionLease::Renewal SessionLease::RenewAnswered(Micros now, uint64_t id, RenewalAnswer answer) {
+SessionLease::Renewal SessionLease::RenewalAnswered(Micros now, uint64_t id, RenewalAnswer answer) {
   in_flight_ = false;
   if (id != id_) return Renewal::kOutdated;
   switch (answer) {
-    case RenewalAnswer::kRenewed: next_call_ = now + life_ / 4; return Renewal::kRenewed;
+    case RenewalAnswer::kRenewed: next_call_ = now + ttl_ / 4; return Renewal::kRenewed;
     case RenewalAnswer::kNoSuchLease:
       id_ = 0;
       next_call_ = now;
--- a/src/core/leadership/session_lease.h
+++ b/src/core/leadership/session_lease.h
@@ -15,17 +15,17 @@
 class SessionLease {
  public:
   // `life`: duration of the lease after a grant or renewal.
-  explicit SessionLease(Micros life) : life_(life) {}
+  explicit SessionLease(Micros ttl) : ttl_(ttl) {}
 
   // Duration of the lease after a grant or renewal.
-  Micros life() const { return life_; }
+  Micros ttl() const { return ttl_; }
   uint64_t id() const { return id_; }  // 0: none is held
   bool held() const { return id_ != 0; }
 
   // Whether to send a grant (if none is held) or a renewal now.
   bool CallDue(Micros now) const { return !in_flight_ && now >= next_call_; }
   // Records that the call was sent.
-  void CallSent() { in_flight_ = true; }
+  void OnCallSent() { in_flight_ = true; }
 
   // Handles the answer to a grant; nothing if there was none.
   void GrantAnswered(Micros now, std::optional<uint64_t> id);
@@ -44,7 +44,7 @@
     kFailed,
   };
   // Handles the answer to the renewal of lease `id`.
-  Renewal RenewAnswered(Micros now, uint64_t id, RenewalAnswer answer);
+  Renewal RenewalAnswered(Micros now, uint64_t id, RenewalAnswer answer);
 
   // Drops a lease that the store does not know any more, so that a new one is requested.
   void Drop() { id_ = 0; }
@@ -53,7 +53,7 @@
   static constexpr Micros kGrantPause = 200 * kMillisecond;
   static constexpr Micros kRenewPause = 250 * kMillisecond;
 
-  const Micros life_;
+  const Micros ttl_;
   uint64_t id_ = 0;
   bool in_flight_ = false;
   Micros next_call_ = 0;
--- a/src/core/leadership/session_lease_keeper.cc
+++ b/src/core/leadership/session_lease_keeper.cc
@@ -23,7 +23,7 @@
 
 void SessionLeaseKeeper::Tick(Micros now) {
   if (!lease_.CallDue(now)) return;
-  lease_.CallSent();
+  lease_.OnCallSent();
   if (lease_.held()) {
     SendRenewal();
   } else {
@@ -32,7 +32,7 @@
 }
 
 void SessionLeaseKeeper::SendGrant() {
-  effects_->Send(Dest::kState, "", "POST", wire::GrantTarget(), wire::EncodeGrant(lease_.life()),
+  effects_->Send(Dest::kState, "", "POST", wire::GrantTarget(), wire::EncodeGrant(lease_.ttl()),
                  kCallTimeout, [this](Micros now, int status, const std::string& body) {
                    std::optional<uint64_t> id;
                    if (status == kOk) id = wire::DecodeGrant(body);
@@ -43,9 +43,9 @@
 
 void SessionLeaseKeeper::SendRenewal() {
   const uint64_t id = lease_.id();
-  effects_->Send(Dest::kState, "", "POST", wire::RenewTarget(id), wire::EncodeGrant(lease_.life()),
+  effects_->Send(Dest::kState, "", "POST", wire::RenewTarget(id), wire::EncodeGrant(lease_.ttl()),
                  kCallTimeout, [this, id](Micros now, int status, const std::string& /*body*/) {
-                   switch (lease_.RenewAnswered(now, id, DecodeRenewal(status))) {
+                   switch (lease_.RenewalAnswered(now, id, DecodeRenewal(status))) {
                      case SessionLease::Renewal::kRenewed: health_->NoteStateAnswer(now); break;
                      case SessionLease::Renewal::kEnded:
                        health_->NoteStateAnswer(now);
--- a/src/core/leadership/session_lease_keeper.h
+++ b/src/core/leadership/session_lease_keeper.h
@@ -16,9 +16,9 @@
 class SessionLeaseKeeper {
  public:
   // `life`: duration of the lease after a grant or renewal. The pointers must outlive this object.
-  SessionLeaseKeeper(Micros life, Effects* effects, NodeHealth* health,
+  SessionLeaseKeeper(Micros ttl, Effects* effects, NodeHealth* health,
                      SessionLeaseObserver* observer)
-      : lease_(life), effects_(effects), health_(health), observer_(observer) {}
+      : lease_(ttl), effects_(effects), health_(health), observer_(observer) {}
 
   // Sends a due grant or renewal. Call at every tick.
   void Tick(Micros now);
@@ -27,7 +27,7 @@
   uint64_t id() const { return lease_.id(); }
   bool held() const { return lease_.held(); }
   // Duration of the lease after a grant or renewal.
-  Micros life() const { return lease_.life(); }
+  Micros ttl() const { return lease_.ttl(); }
   // Drops a lease that the store does not know any more, so that a new one is requested.
   void Drop() { lease_.Drop(); }
 
--- a/src/core/leadership_store.cc
+++ b/src/core/leadership_store.cc
@@ -3,9 +3,13 @@
 
 namespace troutlink {
 
+namespace {
+constexpr int kManySilentPercent = 5;
+}  // namespace
+
 bool Core::NeedsTableMigration(int shard_id) const { return NeedsCompactForm(ShardAt(shard_id)); }
 
-void Core::AddElectionTerms(int shard_id, StateTxn* txn) const {
+void Core::AddElectionRequirements(int shard_id, StateTxn* txn) const {
   const Shard& shard = ShardAt(shard_id);
   AddTableConditions(shard_id, txn);
   if (NeedsCompactForm(shard)) {
@@ -20,7 +24,8 @@
 
 bool Core::ManyMachinesSilent(int shard_id) const {
   const Shard& shard = ShardAt(shard_id);
-  return shard.silence.silent * 20 > static_cast<int>(shard.replica.assignments.machines.size());
+  return shard.silence.silent * 100 >
+         kManySilentPercent * static_cast<int>(shard.replica.assignments.machines.size());
 }
 
 void Core::ApplyCommitted(Micros now, const std::vector<StateWrite>& writes, uint64_t revision) {
--- a/src/core/peer_reports.cc
+++ b/src/core/peer_reports.cc
@@ -12,9 +12,9 @@
     if (!shard.leadership.is_leader) continue;
     for (const auto& [name, machine] : shard.replica.assignments.machines) {
       if (silent_machines.size() >= limit) return silent_machines;
-      auto info = machines_.find(name);
-      if (info == machines_.end() || info->second.first_heard == 0) continue;
-      const Micros silent = SilentFor(now, info->second);
+      auto agent = machines_.find(name);
+      if (agent == machines_.end() || agent->second.first_heartbeat_at == 0) continue;
+      const Micros silent = SilentFor(now, agent->second);
       if (silent > settings_.heartbeat_period * 3 / 2) {
         silent_machines.push_back({name, static_cast<uint64_t>(silent)});
       }
@@ -43,9 +43,9 @@
 
 std::vector<std::string> Core::CachedServiceImages(const std::string& machine) const {
   std::vector<std::string> images;
-  auto info = machines_.find(machine);
-  if (info == machines_.end()) return images;
-  for (const auto& [image, used] : info->second.images) {
+  auto agent = machines_.find(machine);
+  if (agent == machines_.end()) return images;
+  for (const auto& [image, used] : agent->second.images) {
     if (jobs_.IsServiceImage(image)) images.push_back(image);
   }
   return images;
@@ -74,9 +74,9 @@
 // Kept for a failover of the machine's shard to this node.
 void Core::OnCachedImagesReported(Micros now, const mesh::CachedImages& cached) {
   if (!LedByAnother(cached.machine)) return;
-  AgentState& info = machines_[cached.machine];
-  info.images.clear();
-  for (const std::string& image : cached.images) info.images[image] = now;
+  AgentState& agent = machines_[cached.machine];
+  agent.images.clear();
+  for (const std::string& image : cached.images) agent.images[image] = now;
 }
 
 bool Core::OnMachineSilent(Micros now, const std::string& machine, Micros silent) {
@@ -86,8 +86,8 @@
 }
 
 void Core::OnMachineHeardAgain(const std::string& machine) {
-  auto info = machines_.find(machine);
-  if (info != machines_.end()) info->second.reported_silent_since = 0;
+  auto agent = machines_.find(machine);
+  if (agent != machines_.end()) agent->second.reported_silent_since = 0;
 }
 
 }  // namespace troutlink
--- a/src/core/permit_checks.cc
+++ b/src/core/permit_checks.cc
@@ -6,7 +6,7 @@
 
 namespace troutlink {
 
-void Core::NoteViolation(Violation violation, const std::string& known) {
+void Core::RecordViolation(Violation violation, const std::string& known) {
   violations_.Add(violation);
   effects_.Log(LogLine::Level::kError,
                Event("invariant_violated").With("kind", NameOf(violation)).text() + " " + known);
@@ -20,7 +20,7 @@
   return std::find(attempts.begin(), attempts.end(), attempt) != attempts.end();
 }
 
-std::optional<StartPermit> Core::JudgeStart(Micros now, int shard_id, const std::string& machine,
+std::optional<StartPermit> Core::CheckStart(Micros now, int shard_id, const std::string& machine,
                                             const Attempt& attempt) {
   StartFacts facts;
   facts.is_leader = ShardAt(shard_id).leadership.is_leader;
@@ -29,12 +29,12 @@
   facts.job_state = jobs_.StateOf(attempt.job);
   facts.now = now;
   facts.cancellations_bound = cancellations_.RenewalBound(now);
-  const Result<StartPermit, Refusal> judged = facts.Judge();
+  const Result<StartPermit, Refusal> result = facts.Evaluate();
   const std::optional<Violation> violation =
-      judged ? std::nullopt : ViolationOf(judged.error().code);
+      result ? std::nullopt : ViolationOf(result.error().code);
   if (!violation && !effects_.logs_debug()) {
-    if (judged) return *judged;
-    refusals_.Add(judged.error().code);
+    if (result) return *result;
+    refusals_.Add(result.error().code);
     return std::nullopt;
   }
   const std::string known = Event("start")
@@ -47,12 +47,12 @@
                                 .With("revision", sync_.feed().revision())
                                 .WithSpan("replica_age_ms", now - sync_.feed().complete_up_to())
                                 .WithSpan("bound_ms", facts.cancellations_bound - now)
-                                .With("refused", judged ? "no" : judged.error().text)
+                                .With("refused", result ? "no" : result.error().text)
                                 .text();
-  if (violation) NoteViolation(*violation, known);
+  if (violation) RecordViolation(*violation, known);
   effects_.Log(LogLine::Level::kDebug, known);
-  if (judged) return *judged;
-  refusals_.Add(judged.error().code);
+  if (result) return *result;
+  refusals_.Add(result.error().code);
   return std::nullopt;
 }
 
@@ -60,45 +60,46 @@
   return {Command::Op::kStart, attempt.job, attempt.task, attempt.number, 0};
 }
 
-std::optional<RenewalPermit> Core::JudgeRenewal(Micros now, Micros allowance) {
+std::optional<RenewalPermit> Core::CheckRenewal(Micros now, Micros allowance) {
   const RenewalFacts facts{now, cancellations_.RenewalBound(now), allowance};
-  const Result<RenewalPermit, Refusal> judged = facts.Judge();
-  if (judged) return *judged;
-  refusals_.Add(judged.error().code);
+  const Result<RenewalPermit, Refusal> result = facts.Evaluate();
+  if (result) return *result;
+  refusals_.Add(result.error().code);
   return std::nullopt;
 }
 
 // The only place that renews an agent's lease. The same reply must stop all reported tasks of
 // finished jobs.
 void Core::ReplyWithRenewal(const RenewalPermit& /*permit*/, const HeartbeatSource& source,
-                            const AgentHeartbeat& report, uint64_t token,
-                            std::vector<Command> orders) {
-  for (const TaskStatus& task : report.tasks) {
-    if (task.state == TaskState::kExited || !jobs_.IsOver(task.job)) continue;
-    const bool stopped = std::any_of(orders.begin(), orders.end(), [&task](const Command& order) {
-      return order.op == Command::Op::kStop && order.job == task.job && order.task == task.task &&
-             order.attempt == task.attempt;
-    });
+                            const AgentHeartbeat& heartbeat, uint64_t token,
+                            std::vector<Command> commands) {
+  for (const TaskStatus& task : heartbeat.tasks) {
+    if (task.state == TaskState::kExited || !jobs_.IsFinished(task.job)) continue;
+    const bool stopped =
+        std::any_of(commands.begin(), commands.end(), [&task](const Command& command) {
+          return command.op == Command::Op::kStop && command.job == task.job &&
+                 command.task == task.task && command.attempt == task.attempt;
+        });
     if (stopped) continue;
-    NoteViolation(Violation::kRenewalWithoutStop, Event("renewal")
-                                                      .With("machine", report.machine)
-                                                      .With("job", task.job)
-                                                      .With("task", task.task)
-                                                      .With("attempt", task.attempt)
-                                                      .With("token", token)
-                                                      .text());
-    orders.push_back({Command::Op::kStop, task.job, task.task, task.attempt, 0});
+    RecordViolation(Violation::kRenewalWithoutStop, Event("renewal")
+                                                        .With("machine", heartbeat.machine)
+                                                        .With("job", task.job)
+                                                        .With("task", task.task)
+                                                        .With("attempt", task.attempt)
+                                                        .With("token", token)
+                                                        .text());
+    commands.push_back({Command::Op::kStop, task.job, task.task, task.attempt, 0});
   }
   if (effects_.logs_debug()) {
     effects_.Log(LogLine::Level::kDebug, Event("renewal")
-                                             .With("machine", report.machine)
-                                             .With("session", report.session)
+                                             .With("machine", heartbeat.machine)
+                                             .With("session", heartbeat.incarnation)
                                              .With("token", token)
-                                             .With("tasks", report.tasks.size())
-                                             .With("orders", orders.size())
+                                             .With("tasks", heartbeat.tasks.size())
+                                             .With("orders", commands.size())
                                              .text());
   }
-  ReplyToHeartbeat(source, 200, wire::EncodeHeartbeatReply(token, orders));
+  ReplyToHeartbeat(source, 200, wire::EncodeHeartbeatReply(token, commands));
 }
 
 }  // namespace troutlink
--- a/src/core/replica_events.cc
+++ b/src/core/replica_events.cc
@@ -8,9 +8,9 @@
 
 void Core::OnJobOpen(const std::string& id, const JobEntry& entry) {
   const int shard_id = entry.record.shard_id;
-  auto run = executions_.find(id);
-  if (run != executions_.end() && run->second.shard_id != shard_id)
-    executions_.erase(run);  // it moved to another shard
+  auto execution = executions_.find(id);
+  if (execution != executions_.end() && execution->second.shard_id != shard_id)
+    executions_.erase(execution);  // it moved to another shard
   if (!LeadsShard(shard_id)) return;
   LoadExecution(shard_id, id, entry);
   MarkDirty(shard_id);
@@ -23,10 +23,10 @@
     LogCancellation(now, id, "replica");
   }
   cancellations_.ForgetReported(id);
-  auto run = executions_.find(id);
-  if (run != executions_.end()) {
-    ShardAt(run->second.shard_id).cycle.progress_dirty = true;
-    executions_.erase(run);
+  auto execution = executions_.find(id);
+  if (execution != executions_.end()) {
+    ShardAt(execution->second.shard_id).cycle.progress_dirty = true;
+    executions_.erase(execution);
   }
   health_.ForgetJob(id);
   const int shard_id = entry.record.shard_id;
@@ -37,7 +37,7 @@
 }
 
 void Core::OnJobUnblocked(const std::string& id, const JobEntry& entry) {
-  if (JobExecution* run = FindExecution(id)) run->last_start = node_health_.last_tick();
+  if (JobExecution* execution = FindExecution(id)) execution->last_start = node_health_.last_tick();
   if (LeadsShard(entry.record.shard_id)) MarkDirty(entry.record.shard_id);
 }
 
@@ -59,16 +59,16 @@
   const std::string& name = machine.name;
   // A machine that returns from another shard has seen a higher token than this node last used for
   // it: reset assigned_epoch so that a new token is computed.
-  AgentState& info = machines_[name];
-  if (info.last_shard != shard_id) {
-    info.last_shard = shard_id;
-    info.assigned_epoch = 0;
+  AgentState& agent = machines_[name];
+  if (agent.last_shard != shard_id) {
+    agent.last_shard = shard_id;
+    agent.assigned_epoch = 0;
   }
   removed_instances_.erase(name);
   unassigned_agents_.erase(name);
   unknown_instance_since_.erase(name);
   if (ShardAt(shard_id).leadership.is_leader) return;
-  const bool free = machine.attempts.empty() && !machine.draining && machine.helps.empty();
+  const bool free = machine.attempts.empty() && !machine.draining && machine.tail_job.empty();
   if (free) {
     free_since_.try_emplace(name, now);
   } else {
@@ -99,17 +99,17 @@
 }
 
 Core::MachineUsage Core::CountUsage(const AssignedMachine& machine) const {
-  MachineUsage use;
-  use.machine = &machine;
+  MachineUsage usage;
+  usage.machine = &machine;
   for (const Attempt& attempt : machine.attempts) {
     const JobEntry* job = jobs_.Find(attempt.job);
     if (job == nullptr) continue;
     const JobSpec& spec = job->record.spec;
-    use.all += spec.task_resources;
-    use.by_priority[static_cast<size_t>(spec.priority)] += spec.task_resources;
-    use.images.insert(spec.image);
+    usage.all += spec.task_resources;
+    usage.by_priority[static_cast<size_t>(spec.priority)] += spec.task_resources;
+    usage.images.insert(spec.image);
   }
-  return use;
+  return usage;
 }
 
 // --- leadership --------------------------------------------------------------------------
--- a/src/core/scheduler/adoption.cc
+++ b/src/core/scheduler/adoption.cc
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr Micros kUnknownInstanceDelay = 20 * kSecond;
-constexpr int kMaxAdopted = 50;  // unassigned instances per cycle
+constexpr int kMaxAdoptedPerCycle = 50;  // unassigned instances per cycle
 }  // namespace
 
 // Adds unassigned instances to the plan of the shard.
@@ -36,14 +36,14 @@
       }
       AssignedMachine machine;
       machine.name = name;
-      machine.type = rental->second.ask.type;
-      machine.zone = rental->second.ask.zone;
-      machine.spot = rental->second.ask.spot;
-      machine.helps = rental->second.helps;
+      machine.type = rental->second.request.type;
+      machine.zone = rental->second.request.zone;
+      machine.spot = rental->second.request.spot;
+      machine.tail_job = rental->second.tail_job;
       auto known = unassigned_agents_.find(name);  // the agent may be up before the cloud's answer
       if (known != unassigned_agents_.end()) machine.addr = known->second.addr;
       plan->assignments.machines[name] = std::move(machine);
-      plan->Change(name);
+      plan->MarkChanged(name);
     }
     rental = all ? rentals.erase(rental) : std::next(rental);
     plan->urgent = true;
@@ -54,15 +54,15 @@
 // that the cloud has listed for a while.
 void Core::AdoptUnknownInstances(Micros now, int shard_id, Plan* plan) {
   int adopted = 0;
-  for (const auto& [name, report] : unassigned_agents_) {
-    if (adopted >= kMaxAdopted) return;
+  for (const auto& [name, heartbeat] : unassigned_agents_) {
+    if (adopted >= kMaxAdoptedPerCycle) return;
     if (instance_returns_.Confirmed(name)) continue;
     AssignedMachine machine;
     machine.name = name;
-    machine.addr = report.addr;
-    machine.type = report.type;
-    machine.zone = report.zone;
-    machine.spot = report.spot;
+    machine.addr = heartbeat.addr;
+    machine.type = heartbeat.type;
+    machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot;
     if (AdoptUnknownInstance(shard_id, std::move(machine), plan)) ++adopted;
   }
   // The cloud's list lags and may show instances that were returned. It is trusted at once only on
@@ -71,7 +71,7 @@
     return shard.replica.assignments.next_number == 1;
   });
   for (const ListedMachine& listed : instance_lister_.instances()) {
-    if (adopted >= kMaxAdopted) return;
+    if (adopted >= kMaxAdoptedPerCycle) return;
     if (listed.state == ListedMachine::State::kFailed) continue;
     if (listed.state != ListedMachine::State::kRunning && listed.age < kUnknownInstanceDelay)
       continue;
@@ -99,7 +99,7 @@
   if (removed_instances_.count(name) != 0 || !plan->MayChange(name)) return false;
   if (MayBeRented(shard_id, machine, *plan)) return false;
   plan->assignments.machines[name] = std::move(machine);
-  plan->Change(name);
+  plan->MarkChanged(name);
   plan->all_tables = true;
   plan->urgent = true;
   ++counters_.adopted;
@@ -112,8 +112,8 @@
     const AssignmentTable& table =
         id == shard_id ? plan.assignments : ShardAt(id).replica.assignments;
     for (const auto& [request, rental] : table.rentals) {
-      const RentRequest& ask = rental.ask;
-      if (ask.type == machine.type && ask.zone == machine.zone && ask.spot == machine.spot) {
+      const RentRequest& asked = rental.request;
+      if (asked.type == machine.type && asked.zone == machine.zone && asked.spot == machine.spot) {
         return true;
       }
     }
