--- a/src/core/scheduler/commit.cc
+++ b/src/core/scheduler/commit.cc
@@ -9,21 +9,22 @@
 
 namespace {
 constexpr Micros kCommitTimeout = 1500 * kMillisecond;
-constexpr Micros kCleanupPeriod = 700 * kMillisecond;
-constexpr Micros kRoundPeriod = 80 * kMillisecond;
+constexpr Micros kCleanupCommitDelay = 700 * kMillisecond;
+constexpr Micros kMinCommitInterval = 80 * kMillisecond;
 // Limit of the key-value store for one transaction, less some room for the request's frame.
 constexpr int64_t kMaxTxnBytes = int64_t{62} * 1024;
 constexpr int64_t kMaxChunkBytes = int64_t{13} * 1024;
 constexpr int kMaxChunks = 1024;
-constexpr int64_t kFullPercent = 95;  // of the size limit of a value
-constexpr int kWritesKept = 2;   // writes left for the rest of the transaction after the moved jobs
-constexpr int kSmallTxnOps = 8;  // below this a transaction has no writes to leave
+constexpr int64_t kMaxFillPercent = 95;  // of the size limit of a value
+constexpr int kWritesAfterMovedJobs =
+    2;  // writes left for the rest of the transaction after the moved jobs
+constexpr int kMinOpsForReserve = 8;  // below this a transaction has no writes to leave
 // Tokens of the write budget that a commit of each urgency leaves untouched.
 constexpr double kCriticalReserve = 2;
 constexpr double kUrgentReserve = 4;
 constexpr double kCleanupReserve = 6;
-constexpr Micros kNoWritesPause = 50 * kMillisecond;
-constexpr int kReducedCycles = 4;  // after a commit that exceeded the transaction limit
+constexpr Micros kWriteBudgetPause = 50 * kMillisecond;
+constexpr int kReducedCycleCount = 4;  // after a commit that exceeded the transaction limit
 constexpr Micros kFailedCommitPause = 200 * kMillisecond;
 constexpr Micros kTransferPause =
     250 * kMillisecond;  // for transfers between shards, after a conflict
@@ -32,25 +33,28 @@
 
 // Returns the chunks whose stored content differs between two versions of an assignment table.
 std::set<int> ChangedChunks(const AssignmentTable& before, const AssignmentTable& after) {
-  std::set<int> out;
+  std::set<int> changed;
   if (before.next_number != after.next_number || before.rentals != after.rentals ||
-      before.shares != after.shares || before.helps != after.helps) {
-    out.insert(0);
+      before.shares != after.shares || before.tail_grants != after.tail_grants) {
+    changed.insert(0);
   }
-  auto b = before.machines.begin();
-  auto a = after.machines.begin();
-  while (b != before.machines.end() || a != after.machines.end()) {
-    if (a == after.machines.end() || (b != before.machines.end() && b->first < a->first)) {
-      out.insert(after.ChunkOfMachine((b++)->first));
-    } else if (b == before.machines.end() || a->first < b->first) {
-      out.insert(after.ChunkOfMachine((a++)->first));
+  auto old_machine = before.machines.begin();
+  auto new_machine = after.machines.begin();
+  while (old_machine != before.machines.end() || new_machine != after.machines.end()) {
+    if (new_machine == after.machines.end() ||
+        (old_machine != before.machines.end() && old_machine->first < new_machine->first)) {
+      changed.insert(after.ChunkOfMachine((old_machine++)->first));
+    } else if (old_machine == before.machines.end() || new_machine->first < old_machine->first) {
+      changed.insert(after.ChunkOfMachine((new_machine++)->first));
     } else {
-      if (!(a->second == b->second)) out.insert(after.ChunkOfMachine(a->first));
-      ++a;
-      ++b;
+      if (!(new_machine->second == old_machine->second)) {
+        changed.insert(after.ChunkOfMachine(new_machine->first));
+      }
+      ++new_machine;
+      ++old_machine;
     }
   }
-  return out;
+  return changed;
 }
 }  // namespace
 
@@ -59,12 +63,12 @@
   Shard& shard = ShardAt(shard_id);
   StateTxn txn;
   WriteTable(shard_id, &plan->assignments, &txn);
-  for (auto& [other_id, assignments] : plan->others) WriteTable(other_id, &assignments, &txn);
+  for (auto& [other_id, assignments] : plan->other_tables) WriteTable(other_id, &assignments, &txn);
   WriteDoneJobs(now, plan, &txn);
   WriteMovedJobs(plan, &txn);
   if (plan->progress) WriteProgress(shard_id, &txn);
   if (txn.writes.empty()) {
-    shard.cycle.cleanup = false;
+    shard.cycle.cleanup_only = false;
     return;
   }
   if (!MayCommitNow(now, &shard, *plan) ||
@@ -72,7 +76,7 @@
     return;
   }
   shard.cycle.cleanup_at = 0;
-  shard.cycle.committed_at = now;
+  shard.cycle.last_commit_at = now;
   AddConditions(shard_id, *plan, &txn);
   if (plan->progress) {
     shard.cycle.progress_dirty = false;
@@ -93,7 +97,7 @@
   std::set<int> changed = ChangedChunks(shard.replica.assignments, *assignments);
   // Every commit writes the header, so that its version is the version of the whole table.
   if (!changed.empty() || shard.replica.chunks.count(0) == 0) changed.insert(0);
-  const int64_t full = cluster_version_.limits().value_bytes * kFullPercent / 100;
+  const int64_t max_bytes = cluster_version_.limits().value_bytes * kMaxFillPercent / 100;
   bool split = false;
   std::vector<std::pair<int, std::string>> values;
   for (;;) {
@@ -105,10 +109,11 @@
     }
     // A chunk is split well before its value is full, at most one in a commit unless a value
     // exceeds the limit.
-    const bool divide = largest > full || (!split && largest > std::min(kMaxChunkBytes, full));
+    const bool must_split =
+        largest > max_bytes || (!split && largest > std::min(kMaxChunkBytes, max_bytes));
     // GrowTable() splits chunks of the compact form.
     if (assignments->form == TableForm::kCompact) break;
-    if (!divide || assignments->chunks >= kMaxChunks) break;
+    if (!must_split || assignments->chunks >= kMaxChunks) break;
     changed.insert({0, assignments->ChunkToSplit(), assignments->chunks});
     ++assignments->chunks;
     split = true;
@@ -135,26 +140,28 @@
 }
 
 void Core::WriteDoneJobs(Micros now, Plan* plan, StateTxn* txn) const {
-  for (const std::string& id : plan->done) {
+  for (const std::string& id : plan->done_jobs) {
     const JobEntry* job = jobs_.Find(id);
     if (job == nullptr || job->record.state != JobState::kOpen) continue;
     WriteJob(id, job->version, DoneRecord(now, *job), txn);
-    plan->jobs.erase(id);
+    plan->condition_jobs.erase(id);
   }
 }
 
 void Core::WriteMovedJobs(Plan* plan, StateTxn* txn) {
-  for (const auto& [id, to] : plan->moved) {
+  for (const auto& [id, to] : plan->moved_jobs) {
     const JobEntry* job = jobs_.Find(id);
     if (job == nullptr || job->record.state != JobState::kOpen) continue;
-    const int kept = cluster_version_.limits().txn_ops < kSmallTxnOps ? 1 : kWritesKept;
-    if (static_cast<int>(txn->writes.size()) + kept > cluster_version_.limits().txn_ops) break;
+    const int writes_left =
+        cluster_version_.limits().txn_ops < kMinOpsForReserve ? 1 : kWritesAfterMovedJobs;
+    if (static_cast<int>(txn->writes.size()) + writes_left > cluster_version_.limits().txn_ops)
+      break;
     JobRecord record = job->record;
     record.spec.priority = job->own_priority;
     record.shard_id = to;
     ++record.moves;
     WriteJob(id, job->version, record, txn);
-    plan->jobs.erase(id);
+    plan->condition_jobs.erase(id);
     ++counters_.job_moves;
   }
 }
@@ -168,14 +175,14 @@
   if (!plan.urgent && !plan.progress) {
     // The plan only removes finished attempts or returned machines.
     if (shard->cycle.cleanup_at == 0) {
-      shard->cycle.cleanup_at = now + kCleanupPeriod;
+      shard->cycle.cleanup_at = now + kCleanupCommitDelay;
       return false;
     }
     if (now < shard->cycle.cleanup_at) return false;
   }
-  if (plan.critical || now - shard->cycle.committed_at >= kRoundPeriod) return true;
+  if (plan.critical || now - shard->cycle.last_commit_at >= kMinCommitInterval) return true;
   shard->cycle.dirty = true;
-  shard->cycle.not_before = shard->cycle.committed_at + kRoundPeriod;
+  shard->cycle.not_before = shard->cycle.last_commit_at + kMinCommitInterval;
   return false;
 }
 
@@ -185,14 +192,14 @@
                          : plan.urgent ? kUrgentReserve
                                        : kCleanupReserve;
   // Round robin between shards, so that one with small commits cannot starve one with large ones.
-  if (write_turns_.MayTake(now, shard_id)) {
+  if (write_budget_guard_.MayTry(now, shard_id)) {
     const bool taken = write_budget_.Take(now, static_cast<double>(writes), reserve);
-    write_turns_.Took(now, shard_id, taken);
+    write_budget_guard_.RecordAttempt(now, shard_id, taken);
     if (taken) return true;
   }
   Shard& shard = ShardAt(shard_id);
   shard.cycle.dirty = true;
-  shard.cycle.not_before = now + kNoWritesPause;
+  shard.cycle.not_before = now + kWriteBudgetPause;
   return false;
 }
 
@@ -202,14 +209,14 @@
 void Core::AddConditions(int shard_id, const Plan& plan, StateTxn* txn) const {
   txn->conditions.push_back({LeadershipKey(shard_id), ShardAt(shard_id).leadership.epoch});
   for (int id = 0; id < settings_.shard_count(); ++id) {
-    if (id == shard_id || plan.all_tables || plan.others.count(id) != 0) {
+    if (id == shard_id || plan.all_tables || plan.other_tables.count(id) != 0) {
       AddTableConditions(id, txn);
     }
-    if (id != shard_id && plan.others.count(id) != 0) {
+    if (id != shard_id && plan.other_tables.count(id) != 0) {
       txn->conditions.push_back({LeadershipKey(id), ShardAt(id).replica.leadership_version});
     }
   }
-  for (const std::string& id : plan.jobs) {
+  for (const std::string& id : plan.condition_jobs) {
     const JobEntry* job = jobs_.Find(id);
     txn->conditions.push_back({JobKey(id), job == nullptr ? 0 : job->version});
   }
@@ -249,8 +256,8 @@
   Shard& shard = ShardAt(shard_id);
   effects_.Log(LogLine::Level::kInfo,
                "shard " + std::to_string(shard_id) + ": plan exceeds the transaction limits");
-  ++counters_.oversized;
-  shard.cycle.narrow = kReducedCycles;
+  ++counters_.oversized_plans;
+  shard.cycle.reduced_cycles_left = kReducedCycleCount;
   shard.cycle.batch = std::max<uint32_t>(1, shard.cycle.batch / 4);
   shard.cycle.transfers_after = now + kSecond;
   shard.cycle.dirty = true;
@@ -305,7 +312,7 @@
   if (status == 400) {
     // Smaller limits may be in force before this node sees that all nodes support them.
     ++counters_.refused_by_limits;
-    shard.cycle.narrow = kReducedCycles;
+    shard.cycle.reduced_cycles_left = kReducedCycleCount;
   }
   shard.cycle.not_before = now + kFailedCommitPause;
 }
@@ -314,7 +321,7 @@
 void Core::OnCommitConflict(Micros now, Shard* shard, const Plan& plan,
                             const std::vector<std::string>& failed) {
   ++counters_.commit_conflicts;
-  if (!plan.others.empty()) shard->cycle.transfers_after = now + kTransferPause;
+  if (!plan.other_tables.empty()) shard->cycle.transfers_after = now + kTransferPause;
   ++shard->cycle.conflicts;
   const Micros pause = kConflictPause << std::min(shard->cycle.conflicts, kConflictDoublings);
   shard->cycle.not_before = now + std::min(kFailedCommitPause, pause);
@@ -326,23 +333,23 @@
 
 void Core::OnCommitted(Micros now, int shard_id, const Plan& plan) {
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  shard.cycle.cleanup = false;
+  shard.cycle.cleanup_only = false;
   shard.cycle.conflicts = 0;
   shard.cycle.dirty = true;
-  std::set<std::string> touched;
-  for (const auto& [machine, a] : plan.started) {
-    auto it = attempts_.find(a);
-    if (it == attempts_.end() || it->second.gone) continue;
-    it->second.fresh = true;
+  std::set<std::string> machines_to_command;
+  for (const auto& [machine, attempt] : plan.started_attempts) {
+    auto it = attempts_.find(attempt);
+    if (it == attempts_.end() || it->second.terminated) continue;
+    it->second.owns_start = true;
     it->second.placed_at = now;
-    health_.Tried(machine, a.job);
-    touched.insert(machine);
+    health_.NoteStart(machine, attempt.job);
+    machines_to_command.insert(machine);
   }
-  counters_.acquired_machines += plan.others.empty() ? 0 : 1;
-  for (const auto& [name, m] : shard.replica.assignments.machines) {
-    if (machines_[name].probe) touched.insert(name);  // recently assigned
+  counters_.acquired_machines += plan.other_tables.empty() ? 0 : 1;
+  for (const auto& [name, machine] : shard.replica.assignments.machines) {
+    if (machines_[name].probe_pending) machines_to_command.insert(name);  // recently assigned
   }
-  for (const std::string& name : touched) SendDirectCommands(now, shard_id, name);
+  for (const std::string& name : machines_to_command) SendDirectCommands(now, shard_id, name);
   SendRentals(now, shard_id, plan.rentals);
   SendReturns(now, shard_id);
 }
--- a/src/core/scheduler/job_records.cc
+++ b/src/core/scheduler/job_records.cc
@@ -12,11 +12,11 @@
 namespace troutlink {
 
 namespace {
-constexpr int64_t kPagePercent = 60;  // of the size limit of a value
-constexpr int64_t kFullPagePercent = 90;
-constexpr int64_t kMostPages = 64;
+constexpr int64_t kTargetPagePercent = 60;  // of the size limit of a value
+constexpr int64_t kMaxPagePercent = 90;
+constexpr int64_t kMaxProgressPages = 64;
 // Limit for the values of one transaction (64 KiB in all); the last value may exceed it.
-constexpr size_t kMostValueBytes = size_t{40} * 1024;
+constexpr size_t kMaxTxnValueBytes = size_t{40} * 1024;
 }  // namespace
 
 // Whether the transaction can take one more write with its condition. Two conditions are kept for
@@ -24,7 +24,7 @@
 bool Core::FitsAnotherWrite(const StateTxn& txn) const {
   size_t bytes = 0;
   for (const StateWrite& write : txn.writes) bytes += write.value.size();
-  return bytes < kMostValueBytes &&
+  return bytes < kMaxTxnValueBytes &&
          static_cast<int>(txn.writes.size()) < cluster_version_.limits().txn_ops &&
          static_cast<int>(txn.conditions.size()) + 2 < cluster_version_.limits().conditions();
 }
@@ -60,9 +60,10 @@
 }
 
 void Core::WriteDoneRecords(Micros now, int shard_id, StateTxn* txn) const {
-  for (const auto& [id, run] : executions_) {
+  for (const auto& [id, execution] : executions_) {
     if (!FitsAnotherWrite(*txn)) return;
-    if (run.shard_id != shard_id || run.done < static_cast<int>(run.tasks.size())) continue;
+    if (execution.shard_id != shard_id || execution.done < static_cast<int>(execution.tasks.size()))
+      continue;
     const JobEntry* job = jobs_.Find(id);
     if (job == nullptr || job->record.state != JobState::kOpen ||
         jobs_.cascade_cancelled().count(id) != 0)
@@ -75,9 +76,9 @@
 bool Core::WriteProgressPages(Micros now, int shard_id, StateTxn* txn) {
   Shard& shard = ShardAt(shard_id);
   const Progress progress = ProgressOf(shard_id);
-  const int64_t page_bytes = cluster_version_.limits().value_bytes * kPagePercent / 100;
-  const auto page_count = static_cast<size_t>(
-      std::clamp(StoredSize(EncodeProgress(progress)) / page_bytes + 1, int64_t{1}, kMostPages));
+  const int64_t page_bytes = cluster_version_.limits().value_bytes * kTargetPagePercent / 100;
+  const auto page_count = static_cast<size_t>(std::clamp(
+      StoredSize(EncodeProgress(progress)) / page_bytes + 1, int64_t{1}, kMaxProgressPages));
   std::vector<Progress> pages(page_count);
   for (const auto& [id, tasks] : progress) pages[StableHash(id) % page_count][id] = tasks;
   bool left = false, any = false;
@@ -101,11 +102,11 @@
 
 Progress Core::ProgressOf(int shard_id) const {
   Progress progress;
-  for (const auto& [id, run] : executions_) {
-    if (run.shard_id != shard_id || run.done == 0) continue;
+  for (const auto& [id, execution] : executions_) {
+    if (execution.shard_id != shard_id || execution.done == 0) continue;
     std::set<int>& done = progress[id];
-    for (size_t task = 0; task < run.tasks.size(); ++task) {
-      if (run.tasks[task] == kDone) done.insert(static_cast<int>(task));
+    for (size_t task = 0; task < execution.tasks.size(); ++task) {
+      if (execution.tasks[task] == kDone) done.insert(static_cast<int>(task));
     }
   }
   return progress;
@@ -115,7 +116,7 @@
 // progress only repeats work.
 std::string Core::FittingProgress(Progress progress) const {
   std::string value = EncodeProgress(progress);
-  while (StoredSize(value) > cluster_version_.limits().value_bytes * kFullPagePercent / 100 &&
+  while (StoredSize(value) > cluster_version_.limits().value_bytes * kMaxPagePercent / 100 &&
          !progress.empty()) {
     progress.erase(progress.begin());
     value = EncodeProgress(progress);
--- a/src/core/scheduler/order.h
+++ b/src/core/scheduler/order.h
@@ -10,9 +10,9 @@
 namespace troutlink {
 
 struct OrderItem {
-  const std::vector<Micros>* limits = nullptr;  // time of day, ascending
-  double work = 0;                              // pending work in CPU seconds
-  size_t tier = 0;  // index of the latest start to meet; past the end if all are missed
+  const std::vector<Micros>* latest_starts = nullptr;  // time of day, ascending
+  double work = 0;                                     // pending work in CPU seconds
+  size_t limit_index = 0;  // index of the latest start to meet; past the end if all are missed
 };
 
 // Moore-Hodgson: while a job would miss its latest start, defers the job with the most work to its
--- a/src/core/scheduler/partial_cycle.cc
+++ b/src/core/scheduler/partial_cycle.cc
@@ -8,8 +8,8 @@
 namespace troutlink {
 
 namespace {
-constexpr int kMaxChunksAtOnce = 4;
-constexpr int kMaxSmallChunksAtOnce = 7;  // of the compact form
+constexpr int kMaxChunksPerCommit = 4;
+constexpr int kMaxCompactChunksPerCommit = 7;  // of the compact form
 }  // namespace
 
 // An assignment table with more chunks than fit into one transaction is changed a few chunks at a
@@ -19,52 +19,54 @@
   const bool compact = plan->assignments.form == TableForm::kCompact;
   // Values of the compact form hold few machines: a commit changes as many of them as it may, which
   // amortises the header that every commit writes.
-  int most =
-      compact ? std::min(ops, kMaxSmallChunksAtOnce) : std::clamp(ops / 2, 3, kMaxChunksAtOnce);
-  if (shard->cycle.narrow > 0) {
-    most = 2;
-    --shard->cycle.narrow;
+  int max_chunks = compact ? std::min(ops, kMaxCompactChunksPerCommit)
+                           : std::clamp(ops / 2, 3, kMaxChunksPerCommit);
+  if (shard->cycle.reduced_cycles_left > 0) {
+    max_chunks = 2;
+    --shard->cycle.reduced_cycles_left;
   }
-  plan->most_writes = static_cast<size_t>(ops);
-  if (plan->assignments.chunks <= most) return;
+  plan->max_writes = static_cast<size_t>(ops);
+  if (plan->assignments.chunks <= max_chunks) return;
   plan->partial = true;
-  plan->most_chunks = static_cast<size_t>(most);
-  plan->window.insert(0);  // attempt numbers, quota shares and rentals
-  if (shard->cycle.cleanup) shard->cycle.dirty = true;
+  plan->max_chunks = static_cast<size_t>(max_chunks);
+  plan->changed_chunks.insert(0);  // attempt numbers, quota shares and rentals
+  if (shard->cycle.cleanup_only) shard->cycle.dirty = true;
   if (compact && (++shard->cycle.partial_cycles % 2) == 0) {
-    plan->removals = ChunksWithMostFreeCapacity(*shard, static_cast<size_t>(most) - 1);
+    plan->cleanup_chunks = ChunksWithMostFreeCapacity(*shard, static_cast<size_t>(max_chunks) - 1);
     return;
   }
-  const int turns = std::max(1, most / 2);
+  const int turns = std::max(1, max_chunks / 2);
   for (int i = 0; i < turns; ++i) {
-    plan->removals.insert((shard->cycle.next_chunk + i) % plan->assignments.chunks);
+    plan->cleanup_chunks.insert((shard->cycle.next_cleanup_chunk + i) % plan->assignments.chunks);
   }
-  shard->cycle.next_chunk = (shard->cycle.next_chunk + turns) % plan->assignments.chunks;
+  shard->cycle.next_cleanup_chunk =
+      (shard->cycle.next_cleanup_chunk + turns) % plan->assignments.chunks;
 }
 
 // Returns the chunks whose machines have the most free CPUs. Every second cycle uses them; the
 // other cycles rotate through all chunks, as some jobs fit only on particular machines.
-std::set<int> Core::ChunksWithMostFreeCapacity(const Shard& shard, size_t most) const {
-  std::map<int, int64_t> room;
-  for (const MachineUsage& use : shard.usage.machines) {
-    const MachineType* type = machine_types_.Find(use.machine->type);
-    if (type == nullptr || use.info == nullptr ||
-        !IsSchedulable(node_health_.last_tick(), *use.machine, *use.info)) {
+std::set<int> Core::ChunksWithMostFreeCapacity(const Shard& shard, size_t max_chunks) const {
+  std::map<int, int64_t> free_cpus;
+  for (const MachineUsage& usage : shard.usage.machines) {
+    const MachineType* type = machine_types_.Find(usage.machine->type);
+    if (type == nullptr || usage.agent == nullptr ||
+        !IsSchedulable(node_health_.last_tick(), *usage.machine, *usage.agent)) {
       continue;
     }
     int64_t free = type->size.cpus;
-    for (const MachineUsage::Slot& slot : use.slots) {
-      if (slot.job == nullptr || slot.info == nullptr || slot.info->gone) continue;
+    for (const MachineUsage::Slot& slot : usage.slots) {
+      if (slot.job == nullptr || slot.attempt == nullptr || slot.attempt->terminated) continue;
       free -= slot.job->record.spec.task_resources.cpus;
     }
-    room[shard.replica.assignments.ChunkOfMachine(use.machine->name)] += std::max<int64_t>(0, free);
+    free_cpus[shard.replica.assignments.ChunkOfMachine(usage.machine->name)] +=
+        std::max<int64_t>(0, free);
   }
   std::vector<std::pair<int64_t, int>> order;
-  order.reserve(room.size());
-  for (const auto& [chunk, cpus] : room) order.emplace_back(-cpus, chunk);
+  order.reserve(free_cpus.size());
+  for (const auto& [chunk, cpus] : free_cpus) order.emplace_back(-cpus, chunk);
   std::sort(order.begin(), order.end());
   std::set<int> chunks;
-  for (size_t i = 0; i < order.size() && i < most; ++i) chunks.insert(order[i].second);
+  for (size_t i = 0; i < order.size() && i < max_chunks; ++i) chunks.insert(order[i].second);
   return chunks;
 }
 
--- a/src/core/scheduler/placement.cc
+++ b/src/core/scheduler/placement.cc
@@ -6,6 +6,15 @@
 
 namespace {
 constexpr int64_t kMaxTasksThatFit = 1 << 20;
+constexpr double kMinFetchRate = 0.01;  // GB per second
+// Penalties in seconds of delay.
+constexpr double kSharedFetchShare = 0.5;    // of an image fetch that is in progress
+constexpr double kSameMachinePenalty = 0.7;  // for each replica already on the machine
+constexpr double kSameZonePenalty = 0.2;     // for each task already in the zone
+constexpr double kSpotForTailPenalty = 4.0;
+constexpr double kOwnTailMachineBonus = 5.0;
+constexpr double kSteadyForSpotJobPenalty = 3.0;
+constexpr double kUnusedSharePenalty = 0.5;  // for the share of the machine left unused
 }  // namespace
 
 bool TypeAllowed(const JobSpec& spec, const std::string& type, bool spot) {
@@ -25,16 +34,16 @@
   return static_cast<int>(std::max<int64_t>(0, tasks));
 }
 
-bool Allowed(const JobSpec& spec, const JobSpread& spread, const CandidateMachine& m) {
-  if (!TypeAllowed(spec, m.type, m.spot)) return false;
-  if (!spec.zone.empty() && spec.zone != m.zone) return false;
+bool Allowed(const JobSpec& spec, const JobSpread& spread, const CandidateMachine& machine) {
+  if (!TypeAllowed(spec, machine.type, machine.spot)) return false;
+  if (!spec.zone.empty() && spec.zone != machine.zone) return false;
   if (spec.one_zone) {
-    for (const auto& [zone, n] : spread.by_zone) {
-      if (n > 0 && zone != m.zone) return false;
+    for (const auto& [zone, count] : spread.by_zone) {
+      if (count > 0 && zone != machine.zone) return false;
     }
   }
   if (spec.spread) {
-    auto it = spread.by_zone.find(m.zone);
+    auto it = spread.by_zone.find(machine.zone);
     if (it != spread.by_zone.end() && it->second >= SpreadLimit(spec)) return false;
   }
   return true;
@@ -43,37 +52,37 @@
 CandidateIndex::CandidateIndex(const std::set<std::string>& service_images,
                                std::vector<CandidateMachine>* machines) {
   for (const std::string& image : service_images) {
-    number_.emplace(image, static_cast<int>(number_.size()));
+    image_numbers_.emplace(image, static_cast<int>(image_numbers_.size()));
   }
-  image_room_.resize(number_.size());
-  for (CandidateMachine& m : *machines) Add(&m);
+  image_capacity_.resize(image_numbers_.size());
+  for (CandidateMachine& machine : *machines) Add(&machine);
 }
 
-void CandidateIndex::Name(CandidateMachine* machine) const {
+void CandidateIndex::FindServiceImages(CandidateMachine* machine) const {
   machine->service_images.clear();
   if (machine->spot) return;
-  auto note = [&](const std::string& image) {
-    auto it = number_.find(image);
-    if (it != number_.end()) machine->service_images.push_back(it->second);
+  auto add = [&](const std::string& image) {
+    auto it = image_numbers_.find(image);
+    if (it != image_numbers_.end()) machine->service_images.push_back(it->second);
   };
   if (machine->cached != nullptr) {
-    for (const auto& [image, used] : *machine->cached) note(image);
+    for (const auto& [image, used] : *machine->cached) add(image);
   }
-  for (const std::string& image : machine->fetching) note(image);
+  for (const std::string& image : machine->fetching) add(image);
 }
 
-void CandidateIndex::Count(const CandidateMachine& machine, int64_t sign) {
+void CandidateIndex::Accumulate(const CandidateMachine& machine, int64_t sign) {
   if (!machine.usable || machine.spot) return;
   const int64_t free = sign * std::max<int64_t>(0, machine.free.cpus);
   steady_free_ += free;
   zone_free_[machine.zone] += free;
-  if (!machine.helps.empty()) return;
+  if (!machine.tail_job.empty()) return;
   const int64_t room = free;
-  room_[machine.zone] += room;
+  pool_free_by_zone_[machine.zone] += room;
   for (int image : machine.service_images) {
-    ImageRoom& image_room = image_room_[static_cast<size_t>(image)];
-    image_room.free += room;
-    image_room.by_zone[machine.zone] += room;
+    ImageCapacity& image_capacity = image_capacity_[static_cast<size_t>(image)];
+    image_capacity.free += room;
+    image_capacity.by_zone[machine.zone] += room;
   }
 }
 
@@ -82,9 +91,10 @@
   return it == zone_free_.end() ? 0 : it->second;
 }
 
-std::map<std::string, int64_t> CandidateIndex::RoomByZone(const CandidateMachine* except) const {
-  std::map<std::string, int64_t> out = room_;
-  if (except != nullptr && except->usable && !except->spot && except->helps.empty()) {
+std::map<std::string, int64_t> CandidateIndex::FreeCpusByZone(
+    const CandidateMachine* except) const {
+  std::map<std::string, int64_t> out = pool_free_by_zone_;
+  if (except != nullptr && except->usable && !except->spot && except->tail_job.empty()) {
     out[except->zone] -= std::max<int64_t>(0, except->free.cpus);
   }
   return out;
@@ -96,21 +106,21 @@
   const bool service = spec.kind == JobKind::kService;
   // Tasks without checkpoints are stopped within moments: they may borrow the headroom of services
   // where it is scarce, and are preempted when a service needs it.
-  const bool soft = request.lendable && spec.checkpoint == 0;
-  const bool keeps_room =
-      !service && !soft && !request.tail && spec.priority != Priority::kProduction;
+  const bool may_borrow = request.borrowable && spec.checkpoint == 0;
+  const bool keeps_headroom =
+      !service && !may_borrow && !request.tail && spec.priority != Priority::kProduction;
   int best = -1;
   double best_score = 0;
   for (size_t i = 0; i < machines.size(); ++i) {
     const CandidateMachine& machine = machines[i];
-    if (!machine.usable || (machine.closed && !request.closed_too) ||
+    if (!machine.usable || (machine.chunk_closed && !request.include_closed) ||
         !spec.task_resources.Fits(machine.free))
       continue;
-    if (!machine.helps.empty() && machine.helps != spec.id) continue;
-    if (spec.priority < machine.least_priority) continue;
-    if (request.avoid != nullptr && *request.avoid == machine.name) continue;
+    if (!machine.tail_job.empty() && machine.tail_job != spec.id) continue;
+    if (spec.priority < machine.min_priority) continue;
+    if (request.avoided_machine != nullptr && *request.avoided_machine == machine.name) continue;
     if (!Allowed(spec, *request.spread, machine)) continue;
-    if (keeps_room && !machine.spot &&
+    if (keeps_headroom && !machine.spot &&
         (index.steady_free() - spec.task_resources.cpus < request.steady_headroom ||
          (request.zone_headroom > 0 &&
           index.ZoneFree(machine.zone) - spec.task_resources.cpus < request.zone_headroom))) {
@@ -119,36 +129,37 @@
     // Seconds until the task can run: its image fetch, shared with other fetches of the machine.
     double score = 0;
     if (!machine.Cached(spec.image)) {
-      double fetch = spec.image_gb / std::max(0.01, machine.fetch_gb_per_s);
-      score += machine.Has(spec.image)
-                   ? 0.5 * fetch
+      double fetch = spec.image_gb / std::max(kMinFetchRate, machine.fetch_gb_per_s);
+      score += machine.HasOrFetches(spec.image)
+                   ? kSharedFetchShare * fetch
                    : fetch * (1.0 + static_cast<double>(machine.fetching.size()));
     }
     if (service) {
       // Replicas apart, so that the loss of a machine affects few of them.
-      score += 0.7 * machine.TasksOf(spec.id);
+      score += kSameMachinePenalty * machine.TasksOf(spec.id);
     } else if (request.tail) {
-      score += machine.spot ? 4.0 : 0.0;
-      if (machine.helps == spec.id) score -= 5.0;
+      score += machine.spot ? kSpotForTailPenalty : 0.0;
+      if (machine.tail_job == spec.id) score -= kOwnTailMachineBonus;
     } else if (!machine.spot && spec.spot) {
-      score += 3.0;
+      score += kSteadyForSpotJobPenalty;
     }
     if (spec.spread) {
       auto zone = request.spread->by_zone.find(machine.zone);
-      if (zone != request.spread->by_zone.end()) score += 0.2 * zone->second;
+      if (zone != request.spread->by_zone.end()) score += kSameZonePenalty * zone->second;
     }
     // Best fit: prefer the machine with the least left over, so that others become empty.
-    score += 0.5 * static_cast<double>(machine.free.cpus - spec.task_resources.cpus) /
+    score += kUnusedSharePenalty *
+             static_cast<double>(machine.free.cpus - spec.task_resources.cpus) /
              static_cast<double>(std::max<int64_t>(1, machine.size.cpus));
     if (best >= 0 && score >= best_score) continue;
-    if (keeps_room && !machine.spot && request.image_headroom > 0) {
+    if (keeps_headroom && !machine.spot && request.image_headroom > 0) {
       // Services start fast where their image is cached: keep CPUs free there.
-      bool keeps =
+      bool keeps_image_headroom =
           std::all_of(machine.service_images.begin(), machine.service_images.end(), [&](int image) {
-            return index.with_image(image).free - spec.task_resources.cpus >=
+            return index.capacity_with_image(image).free - spec.task_resources.cpus >=
                    request.image_headroom;
           });
-      if (!keeps) continue;
+      if (!keeps_image_headroom) continue;
     }
     best = static_cast<int>(i);
     best_score = score;
--- a/src/core/scheduler/placement.h
+++ b/src/core/scheduler/placement.h
@@ -19,11 +19,11 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  bool usable = false;  // heard from recently, not draining, not quarantined
-  bool closed = false;  // its chunk of the assignment table cannot change in this cycle
+  bool usable = false;        // heard from recently, not draining, not quarantined
+  bool chunk_closed = false;  // its chunk of the assignment table cannot change in this cycle
   // Work of lower priority is kept off: capacity is being freed for work of this priority.
-  Priority least_priority = Priority::kLow;
-  std::string helps;
+  Priority min_priority = Priority::kLow;
+  std::string tail_job;
   Resources size;
   Resources free;
   Resources preemptible;  // used by tasks that production work may preempt
@@ -38,23 +38,23 @@
   bool Cached(const std::string& image) const {
     return cached != nullptr && cached->count(image) != 0;
   }
-  bool Has(const std::string& image) const {
+  bool HasOrFetches(const std::string& image) const {
     return Cached(image) || std::find(fetching.begin(), fetching.end(), image) != fetching.end();
   }
   int TasksOf(const std::string& job) const {
-    for (const auto& [id, n] : tasks) {
-      if (id == job) return n;
+    for (const auto& [id, count] : tasks) {
+      if (id == job) return count;
     }
     return 0;
   }
-  void AddTasks(const std::string& job, int n) {
+  void AddTasks(const std::string& job, int count) {
     for (auto& [id, have] : tasks) {
       if (id == job) {
-        have += n;
+        have += count;
         return;
       }
     }
-    tasks.emplace_back(job, n);
+    tasks.emplace_back(job, count);
   }
 };
 
@@ -62,7 +62,7 @@
 // sum it again.
 class CandidateIndex {
  public:
-  struct ImageRoom {
+  struct ImageCapacity {
     int64_t free = 0;  // CPUs on usable steady machines that have the image
     std::map<std::string, int64_t> by_zone;
   };
@@ -73,28 +73,30 @@
                  std::vector<CandidateMachine>* machines);
 
   // Call Remove() before and Add() after every change of a machine.
-  void Remove(const CandidateMachine& m) { Count(m, -1); }
-  void Add(CandidateMachine* m) {
-    Name(m);
-    Count(*m, 1);
+  void Remove(const CandidateMachine& machine) { Accumulate(machine, -1); }
+  void Add(CandidateMachine* machine) {
+    FindServiceImages(machine);
+    Accumulate(*machine, 1);
   }
 
   int64_t steady_free() const { return steady_free_; }
   int64_t ZoneFree(const std::string& zone) const;
   // Free CPUs by zone on steady machines that are not reserved for an array's tail, without
   // `except`.
-  std::map<std::string, int64_t> RoomByZone(const CandidateMachine* except) const;
-  const ImageRoom& with_image(int image) const { return image_room_[static_cast<size_t>(image)]; }
+  std::map<std::string, int64_t> FreeCpusByZone(const CandidateMachine* except) const;
+  const ImageCapacity& capacity_with_image(int image) const {
+    return image_capacity_[static_cast<size_t>(image)];
+  }
 
  private:
-  void Name(CandidateMachine* m) const;
-  void Count(const CandidateMachine& m, int64_t sign);
+  void FindServiceImages(CandidateMachine* machine) const;
+  void Accumulate(const CandidateMachine& machine, int64_t sign);
 
   int64_t steady_free_ = 0;
   std::map<std::string, int64_t> zone_free_;
-  std::map<std::string, int64_t> room_;
-  std::unordered_map<std::string, int> number_;
-  std::vector<ImageRoom> image_room_;
+  std::map<std::string, int64_t> pool_free_by_zone_;
+  std::unordered_map<std::string, int> image_numbers_;
+  std::vector<ImageCapacity> image_capacity_;
 };
 
 // Number of tasks of one job by zone, running or planned.
@@ -110,13 +112,13 @@
   int64_t zone_headroom = 0;    // the same for each zone, for services spread over zones
   int64_t image_headroom = 0;   // the same for the machines that have a service's image
   // Tasks without checkpoints may borrow the headroom: they are preempted within moments.
-  bool lendable = true;
-  const std::string* avoid = nullptr;  // machine to avoid
-  bool closed_too = false;             // consider machines that only a later cycle can change
+  bool borrowable = true;
+  const std::string* avoided_machine = nullptr;  // machine to avoid
+  bool include_closed = false;  // consider machines that only a later cycle can change
 };
 
 // Whether machine type, spot or steady, and zone allow one more task of the job.
-bool Allowed(const JobSpec& spec, const JobSpread& spread, const CandidateMachine& m);
+bool Allowed(const JobSpec& spec, const JobSpread& spread, const CandidateMachine& machine);
 // The same for the machine type and spot or steady only.
 bool TypeAllowed(const JobSpec& spec, const std::string& type, bool spot);
 // Most tasks that a job spread over zones may have in one zone.
@@ -126,7 +128,7 @@
 int TasksThatFit(const JobSpec& spec, const Resources& room);
 
 // Free milli-CPUs from which a zone counts as able to take a service replica.
-inline constexpr int64_t kZoneRoom = 4000;
+inline constexpr int64_t kMinZoneMilliCpus = 4000;
 
 // Returns the index of the best machine, or -1 if none can take the task.
 int ChooseMachine(const PlacementRequest& request, const std::vector<CandidateMachine>& machines,
--- a/src/core/scheduler/placer.cc
+++ b/src/core/scheduler/placer.cc
@@ -9,15 +9,15 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kWholeJobDelay = 500 * kMillisecond;
-constexpr size_t kOtherConditions = 10;
+constexpr Micros kPartialStartDelay = 500 * kMillisecond;
+constexpr size_t kReservedConditions = 10;
 // Minimum wait of an array before it preempts other work, and the same within its team's guarantee.
 constexpr Micros kArrayPreemptionDelay = 2 * kSecond;
 constexpr Micros kGuaranteePreemptionDelay = 300 * kMillisecond;
-constexpr int kMaxPreemptions = 32;         // jobs for which one cycle preempts others
-constexpr int64_t kLendBelowMultiple = 10;  // of the headroom, in steady CPUs
+constexpr int kMaxPreemptingJobs = 32;          // jobs for which one cycle preempts others
+constexpr int64_t kMaxCapacityPerLentCpu = 10;  // of the headroom, in steady CPUs
 constexpr Micros kReservedQuotaDelay = 20 * kSecond;
-constexpr int kMovesOfService = 2;  // between shards, before the service may start partially
+constexpr int kMaxServiceMoves = 2;  // between shards, before the service may start partially
 constexpr size_t kMachinesPerReservation = 20;
 }  // namespace
 
@@ -35,9 +35,9 @@
   for (const CandidateMachine& machine : plan.machines) {
     if (machine.usable && !machine.spot) steady += machine.size.cpus;
   }
-  headroom.lendable = headroom.steady * kLendBelowMultiple > steady;
-  for (const auto& [id, run] : executions_) {
-    const JobEntry* job = run.shard_id == shard_id ? jobs_.Find(id) : nullptr;
+  headroom.borrowable = headroom.steady * kMaxCapacityPerLentCpu > steady;
+  for (const auto& [id, execution] : executions_) {
+    const JobEntry* job = execution.shard_id == shard_id ? jobs_.Find(id) : nullptr;
     if (job == nullptr || job->record.spec.kind != JobKind::kService) continue;
     largest = std::max(largest, job->record.spec.tasks * job->record.spec.task_resources.cpus);
   }
@@ -45,7 +45,7 @@
   if (headroom.steady > 0) {
     headroom.image = static_cast<int64_t>(1000 * settings_.operator_settings.image_headroom_cpus());
   }
-  if (!headroom.lendable) {
+  if (!headroom.borrowable) {
     headroom.image = std::max(headroom.image, std::min(largest / 2, headroom.steady));
   }
   return headroom;
@@ -58,25 +58,25 @@
   const auto conditions = static_cast<size_t>(cluster_version_.limits().conditions());
   // One condition for a table, and one for each changed chunk.
   if (cluster_version_.all_current())
-    return conditions > kOtherConditions ? conditions - kOtherConditions : 1;
+    return conditions > kReservedConditions ? conditions - kReservedConditions : 1;
   size_t others = 0;
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     if (other_id == shard_id) continue;
     others = std::max(others, shards_[static_cast<size_t>(other_id)].replica.chunks.size());
   }
   const size_t taken =
-      shards_[static_cast<size_t>(shard_id)].replica.chunks.size() + others + kOtherConditions;
+      shards_[static_cast<size_t>(shard_id)].replica.chunks.size() + others + kReservedConditions;
   return conditions > taken ? conditions - taken : 1;
 }
 
 // Quota of a team that arrays leave free for its services.
 QuotaShare Core::QuotaReservedForServices(const JobSpec& spec, const Team& team) const {
-  QuotaShare kept;
-  if (spec.priority == Priority::kProduction || !jobs_.HadService(spec.team)) return kept;
+  QuotaShare reserved;
+  if (spec.priority == Priority::kProduction || !jobs_.HadService(spec.team)) return reserved;
   const auto headroom =
       static_cast<int64_t>(1000 * settings_.operator_settings.team_headroom_cpus());
-  kept.cpus = std::min<int64_t>(headroom, team.cpus_max / 4) / settings_.shard_count();
-  return kept;
+  reserved.cpus = std::min<int64_t>(headroom, team.cpus_max / 4) / settings_.shard_count();
+  return reserved;
 }
 
 // Places the pending tasks of one scheduling cycle, job by job, in its plan.
@@ -96,7 +96,7 @@
 
   void Place(const PendingJob& waiting);
   // Whether the cycle has reached its limits of starts or jobs.
-  bool Full() const { return BatchFull() || plan_.jobs.size() >= max_jobs_; }
+  bool Full() const { return BatchFull() || plan_.condition_jobs.size() >= max_jobs_; }
   bool BatchFull() const { return started_ >= batch_; }
   uint32_t batch() const { return batch_; }
 
@@ -109,22 +109,22 @@
     const PendingJob& waiting;
     const JobSpec& spec;
     const Team& team;
-    QuotaShare kept;  // quota of the team that is kept for its services
+    QuotaShare reserved_quota;  // quota of the team that is kept for its services
     PlacementRequest request;
-    std::string shape;             // empty: no result of an equal job is reused
-    bool gang = false;             // all tasks share one attempt number
-    bool whole = false;            // all tasks start, or none
-    std::unique_ptr<Plan> before;  // to roll back to
-    size_t begun = 0;              // length of Plan::started before this job
+    std::string placement_key;            // empty: no result of an equal job is reused
+    bool gang = false;                    // all tasks share one attempt number
+    bool all_or_nothing = false;          // all tasks start, or none
+    std::unique_ptr<Plan> rollback_plan;  // to roll back to
+    size_t first_start = 0;               // length of Plan::started before this job
     uint64_t gang_number = 0;
-    int left = 0;              // tasks still to place
-    int machine = -1;          // last chosen, -1: none
-    bool asked_quota = false;  // quota transfer from other shards was requested
+    int remaining = 0;             // tasks still to place
+    int machine = -1;              // last chosen, -1: none
+    bool requested_quota = false;  // quota transfer from other shards was requested
     bool no_machine = false;
   };
 
   Job Begin(const PendingJob& waiting);
-  bool MustStartWhole(const PendingJob& waiting) const;
+  bool MustStartAllTasks(const PendingJob& waiting) const;
   bool MayUseReservedQuota(const PendingJob& waiting) const;
   void PlaceTasks(Job* job);
   // Whether the team's quota allows one more task, after a transfer from other shards if needed.
@@ -137,7 +137,7 @@
   void Start(Job* job, size_t task);
   void Undo(Job* job);
   void OnNoMachine(Job* job);
-  void MakeRoom(const Job& job);
+  void PreemptFor(const Job& job);
 
   Core& core_;
   const Micros now_;
@@ -153,76 +153,79 @@
   size_t reserved_ = 0;
   int preemptions_ = 0;
   int array_preemptions_ = 0;
-  std::set<std::string> no_room_;  // placement keys of jobs that found no machine
+  std::set<std::string> unplaceable_keys_;  // placement keys of jobs that found no machine
 };
 
 // A gang, and a service spread over zones that another shard may still take, starts all its tasks
 // or none: the first replica ties a service to its shard.
-bool Core::Placer::MustStartWhole(const PendingJob& waiting) const {
+bool Core::Placer::MustStartAllTasks(const PendingJob& waiting) const {
   const JobSpec& spec = *waiting.spec;
   if (spec.kind == JobKind::kGang) return true;
   if (!spec.spread || spec.kind != JobKind::kService) return false;
-  const JobExecution& run = *waiting.run;
-  return run.placed == 0 && waiting.moves < kMovesOfService &&
-         (run.unplaced_since == 0 || now_ - run.unplaced_since < kWholeJobDelay);
+  const JobExecution& execution = *waiting.execution;
+  return execution.placed == 0 && waiting.moves < kMaxServiceMoves &&
+         (execution.unplaced_since == 0 || now_ - execution.unplaced_since < kPartialStartDelay);
 }
 
 // A task of an array that has waited long may use the quota that is reserved for services.
 // Otherwise the reservations of several shards can block it while its team is below the limit.
 bool Core::Placer::MayUseReservedQuota(const PendingJob& waiting) const {
-  const JobExecution& run = *waiting.run;
+  const JobExecution& execution = *waiting.execution;
   if (waiting.spec->kind != JobKind::kArray) return false;
-  const bool begun = run.done + run.placed > 0;
-  const Micros waited = begun ? now_ - run.last_start : core_.WallNow(now_) - waiting.ready_at;
+  const bool has_started = execution.done + execution.placed > 0;
+  const Micros waited =
+      has_started ? now_ - execution.last_start : core_.WallNow(now_) - waiting.ready_at;
   return waited >= kReservedQuotaDelay;
 }
 
 Core::Placer::Job Core::Placer::Begin(const PendingJob& waiting) {
   const JobSpec& spec = *waiting.spec;
   Job job(waiting, *core_.settings_.FindTeam(spec.team));
-  if (!MayUseReservedQuota(waiting)) job.kept = core_.QuotaReservedForServices(spec, job.team);
+  if (!MayUseReservedQuota(waiting))
+    job.reserved_quota = core_.QuotaReservedForServices(spec, job.team);
   job.gang = spec.kind == JobKind::kGang;
-  job.whole = MustStartWhole(waiting);
+  job.all_or_nothing = MustStartAllTasks(waiting);
   job.request.spec = &spec;
   job.request.spread = &plan_.SpreadOf(spec);
-  job.request.tail = plan_.assignments.helps.count(spec.id) != 0;
+  job.request.tail = plan_.assignments.tail_grants.count(spec.id) != 0;
   job.request.steady_headroom = headroom_.steady;
   job.request.zone_headroom = headroom_.zone;
   job.request.image_headroom = headroom_.image;
-  job.request.lendable = headroom_.lendable;
-  if (job.gang) job.before = std::make_unique<Plan>(plan_);
-  job.begun = plan_.started.size();
+  job.request.borrowable = headroom_.borrowable;
+  if (job.gang) job.rollback_plan = std::make_unique<Plan>(plan_);
+  job.first_start = plan_.started_attempts.size();
   if (job.gang) job.gang_number = core_.NextNumber(shard_id_, &plan_);
   if (spec.kind == JobKind::kArray && !spec.spread && !spec.one_zone && !job.request.tail) {
-    job.shape = ShapeOf(spec);
+    job.placement_key = PlacementKeyOf(spec);
   }
   // An equal array found no machine in this cycle.
-  job.no_machine = !job.shape.empty() && no_room_.count(job.shape) != 0;
-  job.left = waiting.tasks;
+  job.no_machine = !job.placement_key.empty() && unplaceable_keys_.count(job.placement_key) != 0;
+  job.remaining = waiting.tasks;
   return job;
 }
 
 void Core::Placer::Place(const PendingJob& waiting) {
   Job job = Begin(waiting);
   PlaceTasks(&job);
-  if (job.whole && job.left > 0) {
+  if (job.all_or_nothing && job.remaining > 0) {
     Undo(&job);
     return;
   }
-  if (plan_.started.size() > job.begun) {
-    plan_.jobs.insert(job.spec.id);
+  if (plan_.started_attempts.size() > job.first_start) {
+    plan_.condition_jobs.insert(job.spec.id);
     plan_.urgent = true;
     plan_.critical = plan_.critical || job.spec.priority == Priority::kProduction;
   }
-  if (job.no_machine && job.left > 0) OnNoMachine(&job);
+  if (job.no_machine && job.remaining > 0) OnNoMachine(&job);
 }
 
 void Core::Placer::PlaceTasks(Job* job) {
-  const JobExecution& run = *job->waiting.run;
-  for (auto task = static_cast<size_t>(run.hint); task < run.tasks.size(); ++task) {
-    if (job->left <= 0 || job->no_machine) return;
-    if (run.tasks[task] != kWaiting) continue;
-    if (BatchFull() && !job->whole) return;
+  const JobExecution& execution = *job->waiting.execution;
+  for (auto task = static_cast<size_t>(execution.first_waiting_task); task < execution.tasks.size();
+       ++task) {
+    if (job->remaining <= 0 || job->no_machine) return;
+    if (execution.tasks[task] != kWaiting) continue;
+    if (BatchFull() && !job->all_or_nothing) return;
     if (!WithinQuota(job)) return;
     FindMachine(job);
     if (job->machine < 0) return;
@@ -233,29 +236,29 @@
 bool Core::Placer::FitsQuota(const Job& job) {
   QuotaShare share =
       QuotaShareOf(plan_.assignments, job.team, shard_id_, core_.settings_.shard_count());
-  share.cpus -= job.kept.cpus;
-  return FitsQuotaShare(job.team, share, plan_.use.teams[job.spec.team], job.spec.task_resources);
+  share.cpus -= job.reserved_quota.cpus;
+  return FitsQuotaShare(job.team, share, plan_.usage.teams[job.spec.team], job.spec.task_resources);
 }
 
 bool Core::Placer::WithinQuota(Job* job) {
   if (FitsQuota(*job)) return true;
-  if (job->asked_quota) return false;
-  job->asked_quota = true;
-  const QuotaShare want{job->spec.task_resources.cpus * job->left + job->kept.cpus,
-                        job->spec.task_resources.gpus * job->left};
+  if (job->requested_quota) return false;
+  job->requested_quota = true;
+  const QuotaShare want{job->spec.task_resources.cpus * job->remaining + job->reserved_quota.cpus,
+                        job->spec.task_resources.gpus * job->remaining};
   if (core_.PlanQuotaTransfer(now_, shard_id_, &plan_, job->team, want) && FitsQuota(*job)) {
     return true;
   }
   if (job->spec.priority == Priority::kProduction) {
-    core_.PreemptTeam(now_, shard_id_, &plan_, job->spec);
+    core_.PreemptWithinTeam(now_, shard_id_, &plan_, job->spec);
   }
-  plan_.limited[job->spec.team] += job->left;
+  plan_.quota_limited_tasks[job->spec.team] += job->remaining;
   return false;
 }
 
 void Core::Placer::FindMachine(Job* job) {
   // Fill one machine before choosing another.
-  if (job->machine >= 0 && !job->shape.empty()) {
+  if (job->machine >= 0 && !job->placement_key.empty()) {
     const CandidateMachine& last = plan_.machines[static_cast<size_t>(job->machine)];
     if (last.spot && job->spec.task_resources.Fits(last.free)) return;
   }
@@ -269,19 +272,20 @@
   TransferMachine(job);
   if (job->machine >= 0) return;
   job->no_machine = true;
-  if (!job->shape.empty()) no_room_.insert(job->shape);
+  if (!job->placement_key.empty()) unplaceable_keys_.insert(job->placement_key);
 }
 
 bool Core::Placer::FitsClosedMachine(Job* job) const {
-  job->request.closed_too = true;
+  job->request.include_closed = true;
   const bool fits = ChooseMachine(job->request, plan_.machines, plan_.index) >= 0;
-  job->request.closed_too = false;
+  job->request.include_closed = false;
   return fits;
 }
 
 void Core::Placer::TransferMachine(Job* job) {
   // Roll back the transfer too if not all tasks can start.
-  if (job->whole && job->before == nullptr) job->before = std::make_unique<Plan>(plan_);
+  if (job->all_or_nothing && job->rollback_plan == nullptr)
+    job->rollback_plan = std::make_unique<Plan>(plan_);
   if (core_.PlanMachineTransfer(now_, shard_id_, &plan_, job->spec)) {
     job->machine = ChooseMachine(job->request, plan_.machines, plan_.index);
   }
@@ -292,34 +296,34 @@
   CandidateMachine& machine = plan_.machines[static_cast<size_t>(job->machine)];
   if (!spec.image.empty()) {
     plan_.index.Remove(machine);
-    if (!machine.Has(spec.image)) machine.fetching.push_back(spec.image);
+    if (!machine.HasOrFetches(spec.image)) machine.fetching.push_back(spec.image);
     plan_.index.Add(&machine);
   }
-  plan_.Occupy(&machine, spec, 1);
-  plan_.Change(machine.name);
+  plan_.Allocate(&machine, spec, 1);
+  plan_.MarkChanged(machine.name);
   // The tasks of a gang identify each other by a common attempt number.
   const uint64_t number = job->gang ? job->gang_number : core_.NextNumber(shard_id_, &plan_);
   const Attempt attempt{spec.id, static_cast<int>(task), number};
   plan_.assignments.machines[machine.name].attempts.push_back(attempt);
-  plan_.started.emplace_back(machine.name, attempt);
-  if (machine.helps == spec.id) {
-    plan_.assignments.helps[spec.id].credit -=
+  plan_.started_attempts.emplace_back(machine.name, attempt);
+  if (machine.tail_job == spec.id) {
+    plan_.assignments.tail_grants[spec.id].credit -=
         static_cast<double>(spec.task_resources.cpus) / 1000.0 * ToSeconds(spec.estimate) / 3600.0;
   }
-  job->waiting.run->last_start = now_;
-  job->kept = core_.QuotaReservedForServices(spec, job->team);
+  job->waiting.execution->last_start = now_;
+  job->reserved_quota = core_.QuotaReservedForServices(spec, job->team);
   ++started_;
-  --job->left;
-  if (!job->whole) job->waiting.run->unplaced_since = 0;
+  --job->remaining;
+  if (!job->all_or_nothing) job->waiting.execution->unplaced_since = 0;
 }
 
 // Rolls back the tasks placed for an all-or-nothing job.
 void Core::Placer::Undo(Job* job) {
-  if (job->before != nullptr) plan_ = std::move(*job->before);
-  Withdraw(&plan_, job->spec, job->begun);
-  started_ = static_cast<uint32_t>(plan_.started.size());
-  JobExecution& run = *job->waiting.run;
-  if (run.unplaced_since == 0) run.unplaced_since = now_;
+  if (job->rollback_plan != nullptr) plan_ = std::move(*job->rollback_plan);
+  RemoveStarts(&plan_, job->spec, job->first_start);
+  started_ = static_cast<uint32_t>(plan_.started_attempts.size());
+  JobExecution& execution = *job->waiting.execution;
+  if (execution.unplaced_since == 0) execution.unplaced_since = now_;
   if (job->no_machine) {
     plan_.unplaced.push_back({&job->spec, job->waiting.tasks, job->request.tail});
   }
@@ -327,38 +331,41 @@
 
 void Core::Placer::OnNoMachine(Job* job) {
   const JobSpec& spec = job->spec;
-  JobExecution& run = *job->waiting.run;
-  plan_.unplaced.push_back({&spec, job->left, job->request.tail});
-  if (run.unplaced_since == 0) run.unplaced_since = now_;
-  if (job->waiting.aged && plan_.started.size() == job->begun && reserved_ < max_reserved_) {
+  JobExecution& execution = *job->waiting.execution;
+  plan_.unplaced.push_back({&spec, job->remaining, job->request.tail});
+  if (execution.unplaced_since == 0) execution.unplaced_since = now_;
+  if (job->waiting.aged && plan_.started_attempts.size() == job->first_start &&
+      reserved_ < max_reserved_) {
     ++reserved_;
-    Reserve(&plan_, spec);
+    ReserveMachine(&plan_, spec);
   }
-  if (spec.priority == Priority::kProduction && now_ - shard_.cycle.explained_at > kSecond) {
-    shard_.cycle.explained_at = now_;
+  if (spec.priority == Priority::kProduction && now_ - shard_.cycle.unplaced_logged_at > kSecond) {
+    shard_.cycle.unplaced_logged_at = now_;
     core_.effects_.Log(LogLine::Level::kDebug,
-                       "no machine for " + std::to_string(job->left) + " tasks of " + spec.id);
+                       "no machine for " + std::to_string(job->remaining) + " tasks of " + spec.id);
   }
-  MakeRoom(*job);
+  PreemptFor(*job);
 }
 
 // Preempts work of lower priority, for a limited number of jobs per cycle.
-void Core::Placer::MakeRoom(const Job& job) {
+void Core::Placer::PreemptFor(const Job& job) {
   const JobSpec& spec = job.spec;
   if (spec.priority == Priority::kProduction) {
-    if (++preemptions_ > kMaxPreemptions) return;
-    core_.PlanPreemption(now_, shard_id_, &plan_, spec, job.left);
+    if (++preemptions_ > kMaxPreemptingJobs) return;
+    core_.PlanPreemption(now_, shard_id_, &plan_, spec, job.remaining);
     return;
   }
   if (spec.kind != JobKind::kArray || !lowest_priority_ || spec.priority <= *lowest_priority_) {
     return;
   }
-  const Micros patience = job.waiting.within ? kGuaranteePreemptionDelay : kArrayPreemptionDelay;
-  if (now_ - job.waiting.run->unplaced_since < patience) return;
-  if (++array_preemptions_ > kMaxPreemptions) return;
-  const int within_limit = core_.TasksWithinLimit(plan_, job.team, shard_id_, spec, job.kept);
+  const Micros delay =
+      job.waiting.within_guarantee ? kGuaranteePreemptionDelay : kArrayPreemptionDelay;
+  if (now_ - job.waiting.execution->unplaced_since < delay) return;
+  if (++array_preemptions_ > kMaxPreemptingJobs) return;
+  const int within_limit =
+      core_.TasksWithinLimit(plan_, job.team, shard_id_, spec, job.reserved_quota);
   if (within_limit <= 0) return;
-  core_.PlanPreemption(now_, shard_id_, &plan_, spec, std::min(job.left, within_limit));
+  core_.PlanPreemption(now_, shard_id_, &plan_, spec, std::min(job.remaining, within_limit));
 }
 
 void Core::PlanPlacement(Micros now, int shard_id, Plan* plan) {
@@ -376,31 +383,31 @@
 
 // Number of further tasks of a job that its team's quota allows in this shard.
 int Core::TasksWithinLimit(const Plan& plan, const Team& team, int shard_id, const JobSpec& spec,
-                           const QuotaShare& kept) const {
+                           const QuotaShare& reserved) const {
   const QuotaShare share = QuotaShareOf(plan.assignments, team, shard_id, settings_.shard_count());
-  auto used = plan.use.teams.find(spec.team);
-  const QuotaShare in_use = used == plan.use.teams.end() ? QuotaShare() : used->second;
+  auto used = plan.usage.teams.find(spec.team);
+  const QuotaShare in_use = used == plan.usage.teams.end() ? QuotaShare() : used->second;
   int64_t tasks = spec.tasks;
   if (team.cpus_max > 0 && spec.task_resources.cpus > 0) {
-    tasks = std::min(tasks, (share.cpus - kept.cpus - in_use.cpus) / spec.task_resources.cpus);
+    tasks = std::min(tasks, (share.cpus - reserved.cpus - in_use.cpus) / spec.task_resources.cpus);
   }
   if (team.gpus_max > 0 && spec.task_resources.gpus > 0) {
-    tasks = std::min(tasks, (share.gpus - kept.gpus - in_use.gpus) / spec.task_resources.gpus);
+    tasks = std::min(tasks, (share.gpus - reserved.gpus - in_use.gpus) / spec.task_resources.gpus);
   }
   return static_cast<int>(std::max<int64_t>(0, tasks));
 }
 
 // Reserves the machine with the most free CPUs for an aged job: no other task is placed there in
 // this cycle, so that smaller tasks do not keep filling the room it needs.
-void Core::Reserve(Plan* plan, const JobSpec& spec) {
+void Core::ReserveMachine(Plan* plan, const JobSpec& spec) {
   CandidateMachine* best = nullptr;
   const JobSpread& spread = plan->SpreadOf(spec);
-  for (CandidateMachine& m : plan->machines) {
-    if (!m.usable || !m.helps.empty() || !spec.task_resources.Fits(m.size) ||
-        !Allowed(spec, spread, m)) {
+  for (CandidateMachine& machine : plan->machines) {
+    if (!machine.usable || !machine.tail_job.empty() || !spec.task_resources.Fits(machine.size) ||
+        !Allowed(spec, spread, machine)) {
       continue;
     }
-    if (best == nullptr || m.free.cpus > best->free.cpus) best = &m;
+    if (best == nullptr || machine.free.cpus > best->free.cpus) best = &machine;
   }
   if (best == nullptr) return;
   plan->index.Remove(*best);
@@ -408,25 +415,25 @@
 }
 
 // Removes the starts of a job after the first `begun` ones from the plan.
-void Core::Withdraw(Plan* plan, const JobSpec& spec, size_t begun) {
-  while (plan->started.size() > begun) {
-    const auto& [name, attempt] = plan->started.back();
+void Core::RemoveStarts(Plan* plan, const JobSpec& spec, size_t first_start) {
+  while (plan->started_attempts.size() > first_start) {
+    const auto& [name, attempt] = plan->started_attempts.back();
     std::erase(plan->assignments.machines[name].attempts, attempt);
-    for (CandidateMachine& m : plan->machines) {
-      if (m.name == name) plan->Occupy(&m, spec, -1);
+    for (CandidateMachine& machine : plan->machines) {
+      if (machine.name == name) plan->Allocate(&machine, spec, -1);
     }
-    plan->started.pop_back();
+    plan->started_attempts.pop_back();
   }
 }
 
 // Jobs with equal keys can be placed on the same machines.
-std::string Core::ShapeOf(const JobSpec& spec) {
+std::string Core::PlacementKeyOf(const JobSpec& spec) {
   std::string out = std::to_string(spec.task_resources.cpus) + "/" +
                     std::to_string(spec.task_resources.gpus) + "/" +
                     std::to_string(spec.task_resources.memory) + "/" + spec.zone +
                     (spec.spot ? "/s" : "/") + (spec.checkpoint > 0 ? "c" : "") +
                     std::to_string(static_cast<int>(spec.priority));
-  for (const std::string& t : spec.types) out += "/" + t;
+  for (const std::string& type : spec.types) out += "/" + type;
   return out;
 }
 
--- a/src/core/scheduler/rental_planner.h
+++ b/src/core/scheduler/rental_planner.h
@@ -17,7 +17,7 @@
 class Core::RentalPlanner {
  public:
   // Number of machines wanted of one offer, and the first reason, for the log.
-  struct Want {
+  struct WantedMachines {
     Offer offer;
     int count = 0;
     std::string reason;
@@ -33,27 +33,28 @@
   void AddHeadroom();
 
   // Keyed by the offer key's text. Each entry becomes few calls with many machines each.
-  const std::map<std::string, Want>& wants() const { return wants_; }
+  const std::map<std::string, WantedMachines>& wanted() const { return wanted_; }
 
  private:
   // A machine that boots or is being rented.
-  struct Coming {
-    std::string type, zone, helps;
+  struct IncomingMachine {
+    std::string type, zone, tail_job;
     bool spot = false;
     Resources free;
   };
 
-  void CollectComing();
-  bool WillCome(const AssignedMachine& machine, const MachineType& type) const;
+  void CollectIncoming();
+  bool IsIncoming(const AssignedMachine& machine, const MachineType& type) const;
   void AddUnplacedJob(const Plan::UnplacedTasks& unplaced);
   std::optional<Offer> CheapestOffer(const JobSpec& spec, const JobSpread& spread, bool spot) const;
   // Limits the number of tasks to what the team's limit allows.
   int WithinTeamLimit(const JobSpec& spec, int tasks) const;
   // Assigns tasks to incoming machines; returns the number left over.
-  int FillComing(const JobSpec& spec, int tasks, JobSpread* spread);
+  int FillIncoming(const JobSpec& spec, int tasks, JobSpread* spread);
   // Of an array's tasks that may use spot machines, the number that justifies the higher price of
   // steady machines.
-  int WorthSteady(const Plan::UnplacedTasks& unplaced, const MachineType& type, int tasks) const;
+  int TasksWorthSteadyMachines(const Plan::UnplacedTasks& unplaced, const MachineType& type,
+                               int tasks) const;
   void RentFor(const JobSpec& spec, const Offer& offer, int tasks);
   void Add(const Offer& offer, int count, const std::string& reason);
   // Free CPUs on steady machines, including incoming ones.
@@ -62,12 +63,12 @@
   const Core& core_;
   const Micros now_;
   Plan* const plan_;
-  std::vector<Coming> coming_;
-  std::map<std::string, int> in_zone_;  // machines by zone
-  std::map<std::string, Want> wants_;
-  double spot_cpus_ = 0;    // capacity for arrays
-  double cpus_ahead_ = 0;   // CPU seconds of the jobs handled so far
-  int64_t extra_free_ = 0;  // of the machine added for a second zone
+  std::vector<IncomingMachine> incoming_;
+  std::map<std::string, int> machines_by_zone_;  // machines by zone
+  std::map<std::string, WantedMachines> wanted_;
+  double spot_cpus_ = 0;          // capacity for arrays
+  double work_ahead_ = 0;         // CPU seconds of the jobs handled so far
+  int64_t second_zone_free_ = 0;  // of the machine added for a second zone
 };
 
 }  // namespace troutlink
--- a/src/core/scheduler/rentals.cc
+++ b/src/core/scheduler/rentals.cc
@@ -8,48 +8,49 @@
 namespace troutlink {
 
 namespace {
-constexpr int kMaxPerRental = 50;
-constexpr size_t kMaxRentals = 6;  // unanswered requests per shard
+constexpr int kMaxInstancesPerRequest = 50;
+constexpr size_t kMaxOpenRequests = 6;     // unanswered requests per shard
+constexpr size_t kMaxUnknownPercent = 10;  // of the machines that are up
 }  // namespace
 
 std::map<std::string, int> Core::InstancesByZone(const AssignmentTable& assignments) {
   std::map<std::string, int> out;
-  for (const auto& [name, m] : assignments.machines) ++out[m.zone];
+  for (const auto& [name, machine] : assignments.machines) ++out[machine.zone];
   return out;
 }
 
 void Core::AddRental(int shard_id, Plan* plan, const Offer& offer, int count,
-                     const std::string& helps, const std::string& reason) {
+                     const std::string& tail_job, const std::string& reason) {
   Rental rental;
   // The id is unique: its number is taken from the assignment table and committed with it before
   // the request is sent.
-  rental.ask.request =
+  rental.request.id =
       "troutlink-" + std::to_string(shard_id) + "-" + std::to_string(NextNumber(shard_id, plan));
-  rental.ask.type = offer.type->name;
-  rental.ask.zone = offer.zone;
-  rental.ask.spot = offer.spot;
-  rental.ask.count = std::min(count, kMaxPerRental);
-  rental.helps = helps;
-  plan->rentals.push_back(rental.ask.request);
-  effects_.Log(LogLine::Level::kDebug, "renting " + std::to_string(rental.ask.count) + " " +
-                                           rental.ask.type + (offer.spot ? " spot" : " steady") +
-                                           " for " + reason);
-  plan->assignments.rentals[rental.ask.request] = rental;
+  rental.request.type = offer.type->name;
+  rental.request.zone = offer.zone;
+  rental.request.spot = offer.spot;
+  rental.request.count = std::min(count, kMaxInstancesPerRequest);
+  rental.tail_job = tail_job;
+  plan->rentals.push_back(rental.request.id);
+  effects_.Log(LogLine::Level::kDebug, "renting " + std::to_string(rental.request.count) + " " +
+                                           rental.request.type +
+                                           (offer.spot ? " spot" : " steady") + " for " + reason);
+  plan->assignments.rentals[rental.request.id] = rental;
   plan->urgent = true;
 }
 
 // After an election, agents have not sent heartbeats to this node yet. Renting waits until most
 // have, or had time to.
-bool Core::HasHeardItsMachines(Micros now, int shard_id) const {
+bool Core::MostAgentsReported(Micros now, int shard_id) const {
   const Shard& shard = shards_[static_cast<size_t>(shard_id)];
   if (now - shard.leadership.elected_at > 2 * settings_.heartbeat_period + 2 * kSecond) return true;
   size_t up = 0, unknown = 0;
-  for (const MachineUsage& use : shard.usage.machines) {
-    if (use.machine->addr.empty()) continue;
+  for (const MachineUsage& usage : shard.usage.machines) {
+    if (usage.machine->addr.empty()) continue;
     ++up;
-    if (use.info == nullptr || use.info->session == 0) ++unknown;
+    if (usage.agent == nullptr || usage.agent->incarnation == 0) ++unknown;
   }
-  return unknown * 10 <= up;
+  return unknown * 100 <= up * kMaxUnknownPercent;
 }
 
 // Low-priority work without a deadline or objective, for which no steady machine is rented.
@@ -61,16 +62,16 @@
 }
 
 void Core::PlanRentals(Micros now, int shard_id, Plan* plan) {
-  if (plan->assignments.rentals.size() >= kMaxRentals || !HasHeardItsMachines(now, shard_id))
+  if (plan->assignments.rentals.size() >= kMaxOpenRequests || !MostAgentsReported(now, shard_id))
     return;
   RentalPlanner planner(*this, now, plan);
   planner.AddUnplaced();
   planner.AddSecondZone();
   planner.AddHeadroom();
-  for (const auto& [key, want] : planner.wants()) {
-    for (int left = want.count; left > 0 && plan->assignments.rentals.size() < kMaxRentals;
-         left -= kMaxPerRental) {
-      AddRental(shard_id, plan, want.offer, left, "", want.reason);
+  for (const auto& [key, entry] : planner.wanted()) {
+    for (int left = entry.count; left > 0 && plan->assignments.rentals.size() < kMaxOpenRequests;
+         left -= kMaxInstancesPerRequest) {
+      AddRental(shard_id, plan, entry.offer, left, "", entry.reason);
     }
   }
 }
--- a/src/core/scheduler/scheduling_cycle.cc
+++ b/src/core/scheduler/scheduling_cycle.cc
@@ -11,12 +11,13 @@
 namespace {
 constexpr Micros kIdleCycleInterval = 250 * kMillisecond;
 constexpr Micros kMinCycleInterval = 15 * kMillisecond;
-constexpr double kCostPerItem = 3;       // per machine or attempt
+constexpr double kMicrosPerItem = 3;     // per machine or attempt
 constexpr double kCycleCpuShare = 0.25;  // share of the node's CPU limit
-constexpr int64_t kCriticalSpeedup = 3;  // production work shortens the interval by this factor
-constexpr size_t kMaxDone = 8;           // jobs per cycle
-constexpr int kWritesBesideDone = 4;     // writes of the transaction left for the rest
-constexpr Micros kStateLogPeriod = 5 * kSecond;
+constexpr int64_t kProductionIntervalDivisor =
+    3;                                      // production work shortens the interval by this factor
+constexpr size_t kMaxDoneJobsPerCycle = 8;  // jobs per cycle
+constexpr int kWritesBesideDoneJobs = 4;    // writes of the transaction left for the rest
+constexpr Micros kStateLogInterval = 5 * kSecond;
 }  // namespace
 
 Core::JobExecution* Core::FindExecution(const std::string& job) {
@@ -26,24 +27,24 @@
 
 void Core::LoadExecution(int shard_id, const std::string& id, const JobEntry& entry) {
   if (executions_.count(id) != 0) return;
-  JobExecution& run = executions_[id];
-  run.shard_id = shard_id;
-  run.last_start = node_health_.last_tick();
+  JobExecution& execution = executions_[id];
+  execution.shard_id = shard_id;
+  execution.last_start = node_health_.last_tick();
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
   if (entry.record.spec.priority == Priority::kProduction && shard.cycle.conflicts == 0) {
     shard.cycle.not_before =
         std::min(shard.cycle.not_before,
-                 shard.cycle.cycle_started_at + CycleInterval(shard) / kCriticalSpeedup);
+                 shard.cycle.cycle_started_at + CycleInterval(shard) / kProductionIntervalDivisor);
   }
-  run.tasks.assign(static_cast<size_t>(entry.record.spec.tasks), kWaiting);
+  execution.tasks.assign(static_cast<size_t>(entry.record.spec.tasks), kWaiting);
   const Progress& progress = shards_[static_cast<size_t>(shard_id)].replica.progress;
   auto it = progress.find(id);
   if (it != progress.end() && entry.record.spec.kind != JobKind::kService) {
     for (int task : it->second) {
-      if (static_cast<size_t>(task) < run.tasks.size() &&
-          run.tasks[static_cast<size_t>(task)] != kDone) {
-        run.tasks[static_cast<size_t>(task)] = kDone;
-        ++run.done;
+      if (static_cast<size_t>(task) < execution.tasks.size() &&
+          execution.tasks[static_cast<size_t>(task)] != kDone) {
+        execution.tasks[static_cast<size_t>(task)] = kDone;
+        ++execution.done;
       }
     }
   }
@@ -53,15 +54,15 @@
 void Core::ReconcileShard(Micros now, int shard_id) {
   Shard& shard = ShardAt(shard_id);
   ++sync_generation_;
-  for (auto& [id, run] : executions_) {
-    if (run.shard_id == shard_id) ClearAssignedTasks(&run);
+  for (auto& [id, execution] : executions_) {
+    if (execution.shard_id == shard_id) ClearAssignedTasks(&execution);
   }
-  for (MachineUsage& use : shard.usage.machines) {
-    AgentState& info = machines_[use.machine->name];
-    use.info = &info;
-    if (info.assigned_epoch != shard.leadership.epoch)
-      MachineJoined(now, shard, *use.machine, &info);
-    ReconcileAttempts(now, shard_id, &use);
+  for (MachineUsage& usage : shard.usage.machines) {
+    AgentState& agent = machines_[usage.machine->name];
+    usage.agent = &agent;
+    if (agent.assigned_epoch != shard.leadership.epoch)
+      MachineJoined(now, shard, *usage.machine, &agent);
+    ReconcileAttempts(now, shard_id, &usage);
   }
   std::erase_if(attempts_, [&](const auto& item) {
     return item.second.shard_id == shard_id && item.second.sync_generation != sync_generation_;
@@ -70,86 +71,90 @@
       [this](const std::string& name) { return replica_.ShardOfMachine(name) >= 0; });
 }
 
-void Core::ClearAssignedTasks(JobExecution* run) {
-  for (int task : run->placed_list) {
-    uint8_t& state = run->tasks[static_cast<size_t>(task)];
+void Core::ClearAssignedTasks(JobExecution* execution) {
+  for (int task : execution->placed_tasks) {
+    uint8_t& state = execution->tasks[static_cast<size_t>(task)];
     if (state != kPlaced) continue;
     state = kWaiting;
-    run->hint = std::min(run->hint, task);
+    execution->first_waiting_task = std::min(execution->first_waiting_task, task);
   }
-  run->placed_list.clear();
-  run->placed = 0;
+  execution->placed_tasks.clear();
+  execution->placed = 0;
 }
 
 // Handles a machine transferred to this shard after the election. The transfer's own revision gives
 // its fencing token, as the machine may have been here under an older one.
 void Core::MachineJoined(Micros now, const Shard& shard, const AssignedMachine& machine,
-                         AgentState* info) {
-  info->assigned_epoch = shard.leadership.epoch;
+                         AgentState* agent) {
+  agent->assigned_epoch = shard.leadership.epoch;
   auto chunk = shard.replica.chunks.find(shard.replica.assignments.ChunkOfMachine(machine.name));
   uint64_t revision = shard.leadership.epoch;
   if (chunk != shard.replica.chunks.end()) revision = std::max(revision, chunk->second.version);
-  info->fencing_token = std::max(info->fencing_token, TokenForEpoch(revision));
-  info->required_token = std::max(info->required_token, TokenForEpoch(revision));
-  info->since = now;
-  info->idle_since = 0;
-  info->declared_lost = info->drain = false;
-  instance_returns_.Restart(machine.name);
-  info->ordered.clear();
-  info->ignored_replies = info->lease_losses = 0;
-  info->probe = true;
-  if (info->addr.empty()) info->addr = machine.addr;
+  agent->fencing_token = std::max(agent->fencing_token, TokenForEpoch(revision));
+  agent->required_token = std::max(agent->required_token, TokenForEpoch(revision));
+  agent->observed_since = now;
+  agent->idle_since = 0;
+  agent->declared_lost = agent->consolidating = false;
+  instance_returns_.ForgetInFlight(machine.name);
+  agent->last_reply_commands.clear();
+  agent->ignored_replies = agent->lease_losses = 0;
+  agent->probe_pending = true;
+  if (agent->addr.empty()) agent->addr = machine.addr;
 }
 
 // Marks the tasks of a machine as placed, and caches pointers to attempts and jobs for the cycles.
-void Core::ReconcileAttempts(Micros now, int shard_id, MachineUsage* use) {
-  use->slots.clear();
-  for (const Attempt& attempt : use->machine->attempts) {
-    AttemptState& info = attempts_[attempt];
-    if (info.machine.empty()) {
-      info.machine = use->machine->name;
-      info.shard_id = shard_id;
-      info.placed_at = now;
+void Core::ReconcileAttempts(Micros now, int shard_id, MachineUsage* usage) {
+  usage->slots.clear();
+  for (const Attempt& attempt : usage->machine->attempts) {
+    AttemptState& attempt_state = attempts_[attempt];
+    if (attempt_state.machine.empty()) {
+      attempt_state.machine = usage->machine->name;
+      attempt_state.shard_id = shard_id;
+      attempt_state.placed_at = now;
     }
-    info.sync_generation = sync_generation_;
-    use->slots.push_back({&info, jobs_.Find(attempt.job)});
-    if (info.gone) continue;
-    JobExecution* run = FindExecution(attempt.job);
-    if (run == nullptr || static_cast<size_t>(attempt.task) >= run->tasks.size()) continue;
-    uint8_t& state = run->tasks[static_cast<size_t>(attempt.task)];
+    attempt_state.sync_generation = sync_generation_;
+    usage->slots.push_back({&attempt_state, jobs_.Find(attempt.job)});
+    if (attempt_state.terminated) continue;
+    JobExecution* execution = FindExecution(attempt.job);
+    if (execution == nullptr || static_cast<size_t>(attempt.task) >= execution->tasks.size())
+      continue;
+    uint8_t& state = execution->tasks[static_cast<size_t>(attempt.task)];
     if (state != kWaiting) continue;
     state = kPlaced;
-    ++run->placed;
-    run->placed_list.push_back(attempt.task);
+    ++execution->placed;
+    execution->placed_tasks.push_back(attempt.task);
   }
 }
 
-bool Core::IsSchedulable(Micros now, const AssignedMachine& m, const AgentState& info) const {
-  if (m.draining || info.declared_lost || info.failed || info.notice_end != 0 || info.drain)
+bool Core::IsSchedulable(Micros now, const AssignedMachine& machine,
+                         const AgentState& agent) const {
+  if (machine.draining || agent.declared_lost || agent.reported_failed || agent.eviction_at != 0 ||
+      agent.consolidating)
     return false;
-  if (info.session == 0 || now < info.avoid_until || info.ignored_replies >= kMaxIgnoredReplies)
+  if (agent.incarnation == 0 || now < agent.unschedulable_until ||
+      agent.ignored_replies >= kMaxIgnoredReplies)
     return false;
-  if (now - info.heard > 2 * settings_.heartbeat_period + kSecond) return false;
-  return !health_.Unhealthy(m.name);
+  if (now - agent.last_heard > 2 * settings_.heartbeat_period + kSecond) return false;
+  return !health_.Unhealthy(machine.name);
 }
 
 // Returns the machine as a candidate with no task on it.
-CandidateMachine Core::EmptyMachine(Micros now, const AssignedMachine& m) const {
+CandidateMachine Core::MakeCandidate(Micros now, const AssignedMachine& machine) const {
   CandidateMachine out;
-  out.name = m.name;
-  out.type = m.type;
-  out.zone = m.zone;
-  out.spot = m.spot;
-  out.helps = m.helps;
-  const MachineType* type = machine_types_.Find(m.type);
+  out.name = machine.name;
+  out.type = machine.type;
+  out.zone = machine.zone;
+  out.spot = machine.spot;
+  out.tail_job = machine.tail_job;
+  const MachineType* type = machine_types_.Find(machine.type);
   if (type != nullptr) {
     out.size = out.free = type->size;
     out.fetch_gb_per_s = type->fetch_gb_per_s;
   }
-  auto info = machines_.find(m.name);
-  if (info == machines_.end()) return out;
-  out.usable = type != nullptr && IsSchedulable(now, m, info->second);
-  out.cached = &info->second.images;
+  auto agent = machines_.find(machine.name);
+  if (agent == machines_.end()) return out;
+  out.usable = type != nullptr && IsSchedulable(now, machine, agent->second);
+  out.cached = &agent->second.images;
   return out;
 }
 
@@ -161,74 +166,77 @@
   assignments.next_number = shard.replica.assignments.next_number;
   assignments.rentals = shard.replica.assignments.rentals;
   assignments.shares = shard.replica.assignments.shares;
-  assignments.helps = shard.replica.assignments.helps;
-  std::erase_if(assignments.helps,
-                [this](const auto& h) { return executions_.count(h.first) == 0; });
+  assignments.tail_grants = shard.replica.assignments.tail_grants;
+  std::erase_if(assignments.tail_grants,
+                [this](const auto& grant) { return executions_.count(grant.first) == 0; });
   plan->machines.reserve(shard.usage.machines.size() + 16);
-  for (const MachineUsage& use : shard.usage.machines) {
-    const AssignedMachine& m = *use.machine;
-    const bool may =
-        !plan->partial || plan->removals.count(plan->assignments.ChunkOfMachine(m.name)) != 0;
-    if (may && instance_returns_.Confirmed(m.name)) {
-      plan->Change(m.name);
+  for (const MachineUsage& usage : shard.usage.machines) {
+    const AssignedMachine& machine = *usage.machine;
+    const bool may = !plan->partial || plan->cleanup_chunks.count(
+                                           plan->assignments.ChunkOfMachine(machine.name)) != 0;
+    if (may && instance_returns_.Confirmed(machine.name)) {
+      plan->MarkChanged(machine.name);
       continue;
     }
     AssignedMachine& copy =
-        assignments.machines.emplace_hint(assignments.machines.end(), m.name, AssignedMachine())
+        assignments.machines
+            .emplace_hint(assignments.machines.end(), machine.name, AssignedMachine())
             ->second;
-    copy.name = m.name;
-    copy.addr = may && use.info != nullptr && !use.info->addr.empty() ? use.info->addr : m.addr;
-    copy.type = m.type;
-    copy.zone = m.zone;
-    copy.spot = m.spot;
-    copy.draining = m.draining;
-    copy.helps = m.helps;
-    copy.attempts.reserve(m.attempts.size() + 4);
-    CandidateMachine& place = plan->machines.emplace_back(EmptyMachine(now, m));
-    for (size_t i = 0; i < m.attempts.size(); ++i) {
-      const MachineUsage::Slot slot = i < use.slots.size() ? use.slots[i] : MachineUsage::Slot();
-      const bool gone = slot.info != nullptr && slot.info->gone;
-      if (gone && may) plan->Change(m.name);
-      if (!gone || !may) copy.attempts.push_back(m.attempts[i]);
-      if (gone) continue;
-      place.AddTasks(m.attempts[i].job, 1);
+    copy.name = machine.name;
+    copy.addr = may && usage.agent != nullptr && !usage.agent->addr.empty() ? usage.agent->addr
+                                                                            : machine.addr;
+    copy.type = machine.type;
+    copy.zone = machine.zone;
+    copy.spot = machine.spot;
+    copy.draining = machine.draining;
+    copy.tail_job = machine.tail_job;
+    copy.attempts.reserve(machine.attempts.size() + 4);
+    CandidateMachine& candidate = plan->machines.emplace_back(MakeCandidate(now, machine));
+    for (size_t i = 0; i < machine.attempts.size(); ++i) {
+      const MachineUsage::Slot slot =
+          i < usage.slots.size() ? usage.slots[i] : MachineUsage::Slot();
+      const bool terminated = slot.attempt != nullptr && slot.attempt->terminated;
+      if (terminated && may) plan->MarkChanged(machine.name);
+      if (!terminated || !may) copy.attempts.push_back(machine.attempts[i]);
+      if (terminated) continue;
+      candidate.AddTasks(machine.attempts[i].job, 1);
       if (slot.job == nullptr) continue;
       const JobSpec& spec = slot.job->record.spec;
-      place.free -= spec.task_resources;
-      if (spec.priority < Priority::kProduction) place.preemptible += spec.task_resources;
-      QuotaShare& team = plan->use.teams[spec.team];
+      candidate.free -= spec.task_resources;
+      if (spec.priority < Priority::kProduction) candidate.preemptible += spec.task_resources;
+      QuotaShare& team = plan->usage.teams[spec.team];
       team.cpus += spec.task_resources.cpus;
       team.gpus += spec.task_resources.gpus;
-      if (slot.info != nullptr && slot.info->state == TaskState::kFetching && !spec.image.empty() &&
-          !place.Has(spec.image)) {
-        place.fetching.push_back(spec.image);
+      if (slot.attempt != nullptr && slot.attempt->state == TaskState::kFetching &&
+          !spec.image.empty() && !candidate.HasOrFetches(spec.image)) {
+        candidate.fetching.push_back(spec.image);
       }
     }
   }
 }
 
 Core::ResourceUsage Core::TotalUsageOf(const AssignmentTable& assignments) const {
-  ResourceUsage use;
-  for (const auto& [name, m] : assignments.machines) {
-    const std::string* last = nullptr;
+  ResourceUsage usage;
+  for (const auto& [name, machine] : assignments.machines) {
+    const std::string* last_job = nullptr;
     const JobEntry* job = nullptr;
-    for (const Attempt& a : m.attempts) {
-      ++use.jobs[a.job];
-      if (last == nullptr || *last != a.job) job = jobs_.Find(a.job);
-      last = &a.job;
+    for (const Attempt& attempt : machine.attempts) {
+      ++usage.jobs[attempt.job];
+      if (last_job == nullptr || *last_job != attempt.job) job = jobs_.Find(attempt.job);
+      last_job = &attempt.job;
       if (job == nullptr) continue;
-      QuotaShare& team = use.teams[job->record.spec.team];
+      QuotaShare& team = usage.teams[job->record.spec.team];
       team.cpus += job->record.spec.task_resources.cpus;
       team.gpus += job->record.spec.task_resources.gpus;
     }
   }
-  return use;
+  return usage;
 }
 
 int64_t Core::SteadyHeadroom(int shard_id) const {
   int64_t services = 0;
-  for (const auto& [id, run] : executions_) {
-    if (run.shard_id != shard_id) continue;
+  for (const auto& [id, execution] : executions_) {
+    if (execution.shard_id != shard_id) continue;
     const JobEntry* job = jobs_.Find(id);
     if (job != nullptr && job->record.spec.kind == JobKind::kService) {
       services += job->record.spec.task_resources.cpus * job->record.spec.tasks;
@@ -237,7 +245,7 @@
   if (services == 0) return 0;
   // Longer boot times need more headroom.
   Micros boot = 3600 * kSecond;
-  for (const MachineType& t : machine_types_.types()) boot = std::min(boot, t.boot);
+  for (const MachineType& type : machine_types_.types()) boot = std::min(boot, type.boot);
   double scale = std::max(1.0, ToSeconds(boot) / 20.0);
   return std::max(
       static_cast<int64_t>(1000 * settings_.operator_settings.service_headroom_cpus() * scale),
@@ -246,8 +254,8 @@
 }
 
 bool Core::SpreadServices(int shard_id) const {
-  for (const auto& [id, run] : executions_) {
-    if (run.shard_id != shard_id) continue;
+  for (const auto& [id, execution] : executions_) {
+    if (execution.shard_id != shard_id) continue;
     const JobEntry* job = jobs_.Find(id);
     if (job != nullptr && job->record.spec.kind == JobKind::kService && job->record.spec.spread) {
       return true;
@@ -262,17 +270,18 @@
   double items =
       static_cast<double>(shard.replica.assignments.machines.size() + shard.usage.attempts);
   return kMinCycleInterval +
-         static_cast<Micros>(items * kCostPerItem / (kCycleCpuShare * settings_.cores));
+         static_cast<Micros>(items * kMicrosPerItem / (kCycleCpuShare * settings_.cores));
 }
 
 void Core::RunSchedulingCycles(Micros now) {
   for (int shard_id = 0; shard_id < settings_.shard_count(); ++shard_id) {
     Shard& shard = shards_[static_cast<size_t>(shard_id)];
-    if (!shard.leadership.is_leader || shard.leadership.acquiring || shard.cycle.committing ||
-        shard.leadership.releasing || now < shard.cycle.not_before || machine_types_.empty()) {
+    if (!shard.leadership.is_leader || shard.leadership.election_in_flight ||
+        shard.cycle.committing || shard.leadership.failback_in_flight ||
+        now < shard.cycle.not_before || machine_types_.empty()) {
       continue;
     }
-    const bool due = shard.cycle.dirty || now - shard.cycle.last_commit > kIdleCycleInterval;
+    const bool due = shard.cycle.dirty || now - shard.cycle.last_cycle_at > kIdleCycleInterval;
     if (!due) continue;
     if (MaintainTable(now, shard_id) || CommitJobRecords(now, shard_id)) {
       shard.cycle.dirty = true;
@@ -284,9 +293,9 @@
 
 void Core::RunCycle(Micros now, int shard_id) {
   Shard& shard = shards_[static_cast<size_t>(shard_id)];
-  ++counters_.rounds;
+  ++counters_.cycles;
   shard.cycle.dirty = false;
-  shard.cycle.last_commit = now;
+  shard.cycle.last_cycle_at = now;
   shard.cycle.cycle_started_at = now;
   shard.cycle.not_before = now + CycleInterval(shard);
   Plan plan;
@@ -302,7 +311,7 @@
   plan.index = CandidateIndex(service_images, &plan.machines);
   plan.headroom = SteadyHeadroom(shard_id);
   PlanAdoption(now, shard_id, &plan);
-  PlanTailHelp(now, shard_id, &plan);
+  PlanTailAcceleration(now, shard_id, &plan);
   PlanPlacement(now, shard_id, &plan);
   PlanJobMoves(now, shard_id, &plan);
   PlanRentals(now, shard_id, &plan);
@@ -314,21 +323,22 @@
     plan.progress = shard.cycle.progress_dirty && now >= shard.cycle.progress_at;
   }
   if (now >= shard.cycle.next_state_log) {
-    shard.cycle.next_state_log = now + kStateLogPeriod;
+    shard.cycle.next_state_log = now + kStateLogInterval;
     LogShardState(shard_id, plan);
   }
   Commit(now, shard_id, &plan);
 }
 
 void Core::FindDoneJobs(int shard_id, Plan* plan) const {
-  for (const auto& [id, run] : executions_) {
-    if (run.shard_id != shard_id || run.done < static_cast<int>(run.tasks.size())) continue;
-    if (static_cast<int>(plan->done.size()) + kWritesBesideDone >=
+  for (const auto& [id, execution] : executions_) {
+    if (execution.shard_id != shard_id || execution.done < static_cast<int>(execution.tasks.size()))
+      continue;
+    if (static_cast<int>(plan->done_jobs.size()) + kWritesBesideDoneJobs >=
             cluster_version_.limits().txn_ops ||
-        plan->done.size() >= kMaxDone) {
+        plan->done_jobs.size() >= kMaxDoneJobsPerCycle) {
       return;
     }
-    plan->done.push_back(id);
+    plan->done_jobs.push_back(id);
     plan->urgent = true;
   }
 }
@@ -337,15 +347,15 @@
 void Core::LogShardState(int shard_id, const Plan& plan) {
   int usable = 0, waiting = 0, services = 0;
   int64_t steady = 0, spot = 0, free_steady = 0, free_spot = 0, wanted = 0;
-  for (const CandidateMachine& m : plan.machines) {
-    if (!m.usable) continue;
+  for (const CandidateMachine& machine : plan.machines) {
+    if (!machine.usable) continue;
     ++usable;
-    (m.spot ? spot : steady) += m.size.cpus;
-    (m.spot ? free_spot : free_steady) += m.free.cpus;
+    (machine.spot ? spot : steady) += machine.size.cpus;
+    (machine.spot ? free_spot : free_steady) += machine.free.cpus;
   }
-  for (const Plan::UnplacedTasks& u : plan.unplaced) {
-    (u.spec->kind == JobKind::kService ? services : waiting) += u.tasks;
-    wanted += u.tasks * u.spec->task_resources.cpus;
+  for (const Plan::UnplacedTasks& unplaced : plan.unplaced) {
+    (unplaced.spec->kind == JobKind::kService ? services : waiting) += unplaced.tasks;
+    wanted += unplaced.tasks * unplaced.spec->task_resources.cpus;
   }
   const Shard& shard = shards_[static_cast<size_t>(shard_id)];
   effects_.Log(LogLine::Level::kDebug,
@@ -357,33 +367,36 @@
                    " spot " + std::to_string(free_spot / 1000) + "/" + std::to_string(spot / 1000) +
                    " free, unplaced " + std::to_string(waiting) + " array and " +
                    std::to_string(services) + " service tasks of " + std::to_string(wanted / 1000) +
-                   " cpus, " + std::to_string(plan.assignments.rentals.size()) + " open rental requests, " +
-                   std::to_string(write_budget_.have()) + " write tokens, " +
-                   std::to_string(cloud_budget_.have()) + " cloud call tokens");
-  for (const auto& [team_name, tasks] : plan.limited) {
+                   " cpus, " + std::to_string(plan.assignments.rentals.size()) +
+                   " open rental requests, " + std::to_string(write_budget_.tokens()) +
+                   " write tokens, " + std::to_string(cloud_budget_.tokens()) +
+                   " cloud call tokens");
+  for (const auto& [team_name, tasks] : plan.quota_limited_tasks) {
     const Team* team = settings_.FindTeam(team_name);
-    auto used = plan.use.teams.find(team_name);
-    if (team == nullptr || used == plan.use.teams.end()) continue;
+    auto used = plan.usage.teams.find(team_name);
+    if (team == nullptr || used == plan.usage.teams.end()) continue;
     const QuotaShare share =
         QuotaShareOf(plan.assignments, *team, shard_id, settings_.shard_count());
-    effects_.Log(LogLine::Level::kDebug, "quota of team " + team_name + " holds back " +
-                                             std::to_string(tasks) + " tasks in shard " +
-                                             std::to_string(shard_id) + ": " +
-                                             std::to_string(used->second.cpus / 1000) + " of " +
-                                             std::to_string(share.cpus / 1000) + " cpus used in this shard, " +
-                                             std::to_string(team->cpus_max / 1000) + " in all shards");
+    effects_.Log(LogLine::Level::kDebug,
+                 "quota of team " + team_name + " holds back " + std::to_string(tasks) +
+                     " tasks in shard " + std::to_string(shard_id) + ": " +
+                     std::to_string(used->second.cpus / 1000) + " of " +
+                     std::to_string(share.cpus / 1000) + " cpus used in this shard, " +
+                     std::to_string(team->cpus_max / 1000) + " in all shards");
   }
   // Counters of this process since its start; the log keeps them after it ends.
-  const Counters& c = counters_;
   const ApiCounters& api = user_api_.counters();
   effects_.Log(LogLine::Level::kDebug,
-               "totals: starts " + std::to_string(c.starts) + ", tails " +
-                   std::to_string(c.tails) + ", tail machines " + std::to_string(c.helpers) +
-                   ", overdue tasks moved " + std::to_string(c.overdue) + ", preempted " +
-                   std::to_string(c.preempted) + ", consolidated " + std::to_string(c.consolidated) +
-                   ", accepted " + std::to_string(api.accepted) + ", puts " +
-                   std::to_string(c.puts + api.record_writes) + ", commits " +
-                   std::to_string(c.commits) + ", conflicts " + std::to_string(c.commit_conflicts));
+               "totals: starts " + std::to_string(counters_.starts) + ", tails " +
+                   std::to_string(counters_.tails) + ", tail machines " +
+                   std::to_string(counters_.tail_machines) + ", overdue tasks moved " +
+                   std::to_string(counters_.overdue_tasks) + ", preempted " +
+                   std::to_string(counters_.preempted) + ", consolidated " +
+                   std::to_string(counters_.consolidated) + ", accepted " +
+                   std::to_string(api.accepted) + ", puts " +
+                   std::to_string(counters_.puts + api.record_writes) + ", commits " +
+                   std::to_string(counters_.commits) + ", conflicts " +
+                   std::to_string(counters_.commit_conflicts));
 }
 
 // Attempt numbers are unique over all shards, so that a job can move between them.
--- a/src/core/scheduler/table_form.cc
+++ b/src/core/scheduler/table_form.cc
@@ -25,10 +25,10 @@
 constexpr int kCompactBelowOps = 12;
 // Fill level of the largest chunk after migration, and the one above which a chunk is split, in
 // percent of the size limit of a value.
-constexpr int64_t kFirstFillPercent = 60;
-constexpr int64_t kGrowPercent = 75;
-constexpr int kFirstChunks = 1 + 4;
-constexpr int kMostChunks = 1024;
+constexpr int64_t kInitialFillPercent = 60;
+constexpr int64_t kSplitFillPercent = 75;
+constexpr int kInitialChunks = 1 + 4;
+constexpr int kMaxChunks = 1024;
 }  // namespace
 
 bool Core::NeedsCompactForm(const Shard& shard) const {
@@ -51,15 +51,15 @@
   AssignmentTable table = shard.replica.assignments;
   table.form = TableForm::kCompact;
   if (shard.replica.chunks.empty()) {
-    table.chunks = kFirstChunks;
+    table.chunks = kInitialChunks;
     return table;
   }
-  const int64_t most = cluster_version_.limits().value_bytes * kFirstFillPercent / 100;
-  table.chunks = ChunksForCompactForm(shard.replica.assignments, most);
+  const int64_t max_bytes = cluster_version_.limits().value_bytes * kInitialFillPercent / 100;
+  table.chunks = ChunksForCompactForm(shard.replica.assignments, max_bytes);
   table.unmigrated_from = 1;
   // Tail credits are dropped if the header is too large; they are granted again.
   if (StoredSize(EncodeChunk(table, 0)) > cluster_version_.limits().value_bytes)
-    table.helps.clear();
+    table.tail_grants.clear();
   return table;
 }
 
@@ -68,10 +68,10 @@
   Shard& shard = ShardAt(shard_id);
   if (shard.replica.assignments.form != TableForm::kCompact) return false;
   if (shard.replica.assignments.Migrating()) return MigrateTable(now, shard_id);
-  if (std::exchange(shard.cycle.maintained, false))
+  if (std::exchange(shard.cycle.table_maintained, false))
     return false;  // alternate with scheduling cycles
-  shard.cycle.maintained = GrowTable(now, shard_id) || EraseOriginalForm(now, shard_id);
-  return shard.cycle.maintained;
+  shard.cycle.table_maintained = GrowTable(now, shard_id) || EraseOriginalForm(now, shard_id);
+  return shard.cycle.table_maintained;
 }
 
 bool Core::MigrateTable(Micros now, int shard_id) {
@@ -112,15 +112,16 @@
   for (const auto& [index, chunk] : shard.replica.chunks) {
     if (index != 0) largest = std::max(largest, chunk.bytes);
   }
-  const int64_t most = cluster_version_.limits().value_bytes * kGrowPercent / 100;
-  if (static_cast<int64_t>(largest) <= most || shard.replica.assignments.chunks >= kMostChunks) {
+  const int64_t max_bytes = cluster_version_.limits().value_bytes * kSplitFillPercent / 100;
+  if (static_cast<int64_t>(largest) <= max_bytes ||
+      shard.replica.assignments.chunks >= kMaxChunks) {
     return false;
   }
   AssignmentTable next = shard.replica.assignments;
-  const int divided = next.ChunkToSplit();
+  const int split = next.ChunkToSplit();
   const int added = next.chunks++;
   StateTxn txn;
-  for (int chunk : {0, divided, added}) {
+  for (int chunk : {0, split, added}) {
     txn.writes.push_back(
         {AssignmentKey(shard_id, chunk, next.form), EncodeChunk(next, chunk), 0, false});
   }
--- a/src/core/scheduler/tail.cc
+++ b/src/core/scheduler/tail.cc
@@ -15,8 +15,9 @@
 
 Micros TailRemaining(Micros elapsed, int done, int tasks) {
   if (done <= 0) return 0;
-  double x = static_cast<double>(done) / tasks;
-  return static_cast<Micros>(static_cast<double>(elapsed) / x - static_cast<double>(elapsed));
+  const double completed_share = static_cast<double>(done) / tasks;
+  const auto elapsed_us = static_cast<double>(elapsed);
+  return static_cast<Micros>(elapsed_us / completed_share - elapsed_us);
 }
 
 double TailCpus(double credit, Micros remaining) {
@@ -25,7 +26,7 @@
   return std::min(credit / (ToSeconds(remaining) / 3600.0), credit);
 }
 
-int TailHelpers(double cpus, int candidates, int64_t cpus_each, int64_t machine_cpus) {
+int TailMachineCount(double cpus, int candidates, int64_t cpus_each, int64_t machine_cpus) {
   if (cpus <= 0 || candidates <= 0 || machine_cpus <= 0 || cpus_each > machine_cpus) return 0;
   int64_t per_machine = cpus_each <= 0 ? candidates : machine_cpus / cpus_each;
   int64_t needed = (candidates + per_machine - 1) / per_machine;
--- a/src/core/scheduler/transfer.cc
+++ b/src/core/scheduler/transfer.cc
@@ -8,36 +8,49 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kTransferDelay = 1500 * kMillisecond;
-constexpr Micros kLateTransferDelay = 8 * kSecond;
-constexpr Micros kNoMachineDelay = 3 * kSecond;
-constexpr Micros kJobTransferDelay = 500 * kMillisecond;
+constexpr Micros kFreeMachineDelay = 1500 * kMillisecond;
+constexpr Micros kBackloggedMachineDelay = 8 * kSecond;
+constexpr Micros kNoSuitableMachineDelay = 3 * kSecond;
+constexpr Micros kJobMoveRetryInterval = 500 * kMillisecond;
+constexpr Micros kProductionJobMoveRetryInterval = kJobMoveRetryInterval / 5;
+constexpr Micros kJobMoveDelay = 1500 * kMillisecond;
+constexpr Micros kProductionJobMoveDelay = 60 * kMillisecond;
+constexpr size_t kMaxMovedJobsPerCycle = 3;
+constexpr int kMaxEvaluatedJobsPerCycle = 4;
+constexpr int kMaxServiceMoves = 2;
+constexpr int kMaxMoves = 6;
+constexpr int kEnoughPlaceableTasks = 8;
+constexpr Micros kRecentCommitWindow = 60 * kMillisecond;
 }  // namespace
 
 // Moves jobs of which nothing has started, and which find no machine here, to a shard that has
 // room.
 void Core::PlanJobMoves(Micros now, int shard_id, Plan* plan) {
-  int asked = 0;
-  for (const Plan::UnplacedTasks& u : plan->unplaced) {
-    if (plan->moved.size() >= 3) break;
-    const JobSpec& spec = *u.spec;
-    JobExecution* run = FindExecution(spec.id);
-    if (run == nullptr || run->done > 0 || run->placed > 0 || plan->jobs.count(spec.id) != 0) {
+  int evaluated = 0;
+  for (const Plan::UnplacedTasks& unplaced : plan->unplaced) {
+    if (plan->moved_jobs.size() >= kMaxMovedJobsPerCycle) break;
+    const JobSpec& spec = *unplaced.spec;
+    JobExecution* execution = FindExecution(spec.id);
+    if (execution == nullptr || execution->done > 0 || execution->placed > 0 ||
+        plan->condition_jobs.count(spec.id) != 0) {
       continue;
     }
     const JobEntry* job = jobs_.Find(spec.id);
-    if (job == nullptr || job->record.moves >= (spec.kind == JobKind::kService ? 2 : 6)) continue;
-    Micros patience =
-        spec.priority == Priority::kProduction ? 60 * kMillisecond : 1500 * kMillisecond;
-    if (run->unplaced_since == 0 || now - run->unplaced_since < patience) continue;
+    if (job == nullptr ||
+        job->record.moves >= (spec.kind == JobKind::kService ? kMaxServiceMoves : kMaxMoves))
+      continue;
+    Micros delay = spec.priority == Priority::kProduction ? kProductionJobMoveDelay : kJobMoveDelay;
+    if (execution->unplaced_since == 0 || now - execution->unplaced_since < delay) continue;
     // Evaluating all shards is expensive: bounded per job and per cycle.
-    if (now < run->move_at || ++asked > 4) continue;
-    run->move_at =
-        now + (spec.priority == Priority::kProduction ? kJobTransferDelay / 5 : kJobTransferDelay);
+    if (now < execution->next_move_at || ++evaluated > kMaxEvaluatedJobsPerCycle) continue;
+    execution->next_move_at =
+        now + (spec.priority == Priority::kProduction ? kProductionJobMoveRetryInterval
+                                                      : kJobMoveRetryInterval);
     const std::vector<ShardCapacity> capacities = user_api_.shard_selector().CapacitiesFor(spec);
     int best = -1;
     if (capacities[static_cast<size_t>(shard_id)].suitable_machines == 0 &&
-        plan->assignments.rentals.empty() && now - run->unplaced_since > kNoMachineDelay) {
+        plan->assignments.rentals.empty() &&
+        now - execution->unplaced_since > kNoSuitableMachineDelay) {
       // No machine of this shard is suitable: move the job to a shard that has suitable ones.
       for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
         const ShardCapacity& capacity = capacities[static_cast<size_t>(other_id)];
@@ -51,7 +64,7 @@
     for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
       const ShardCapacity& capacity = capacities[static_cast<size_t>(other_id)];
       if (other_id == shard_id || !capacity.has_live_leader ||
-          capacity.placeable_tasks < std::min(spec.tasks, 8)) {
+          capacity.placeable_tasks < std::min(spec.tasks, kEnoughPlaceableTasks)) {
         continue;
       }
       if (best < 0 ||
@@ -60,7 +73,7 @@
       }
     }
     if (best < 0) continue;
-    plan->moved[spec.id] = best;
+    plan->moved_jobs[spec.id] = best;
     plan->urgent = true;
     plan->critical = plan->critical || spec.priority == Priority::kProduction;
     effects_.Log(LogLine::Level::kDebug, "moving job " + spec.id + " from shard " +
@@ -71,22 +84,22 @@
 
 // Collects free machines of other shards that may be transferred now.
 void Core::FindTransferableMachines(Micros now, int shard_id, Plan* plan) {
-  plan->transferable_known = true;
+  plan->transferable_found = true;
   const std::vector<ShardBacklog::CpusByPriority>& backlog = user_api_.shard_backlog().Cpus();
   for (int other_id = 0; other_id < settings_.shard_count(); ++other_id) {
     const Shard& other = shards_[static_cast<size_t>(other_id)];
     if (other_id == shard_id || !MayChangeTable(other) || other.cycle.committing) continue;
     // A shard with backlog is about to use its free machines: wait longer before taking them.
     const Micros after =
-        backlog[static_cast<size_t>(other_id)][0] > 0 ? kLateTransferDelay : kTransferDelay;
-    for (const auto& [name, m] : other.replica.assignments.machines) {
-      if (!m.attempts.empty() || m.draining || !m.helps.empty()) continue;
-      if (m.addr.empty() || !plan->MayChange(name)) continue;  // addr.empty(): still booting
+        backlog[static_cast<size_t>(other_id)][0] > 0 ? kBackloggedMachineDelay : kFreeMachineDelay;
+    for (const auto& [name, machine] : other.replica.assignments.machines) {
+      if (!machine.attempts.empty() || machine.draining || !machine.tail_job.empty()) continue;
+      if (machine.addr.empty() || !plan->MayChange(name)) continue;  // addr.empty(): still booting
       // Skip machines that their leader reports as silent: each transfer would restart the failure
       // detection of a dead machine.
       auto known = machines_.find(name);
       if (!other.leadership.is_leader && known != machines_.end() &&
-          (known->second.reported_silent_since != 0 || known->second.failed)) {
+          (known->second.reported_silent_since != 0 || known->second.reported_failed)) {
         continue;
       }
       auto since = free_since_.find(name);
@@ -94,8 +107,8 @@
           (since == free_since_.end() || now - since->second < after))
         continue;
       if (other.leadership.is_leader) {
-        auto info = machines_.find(name);
-        if (info == machines_.end() || !IsSchedulable(now, m, info->second)) continue;
+        auto agent = machines_.find(name);
+        if (agent == machines_.end() || !IsSchedulable(now, machine, agent->second)) continue;
       }
       plan->transferable.emplace_back(other_id, name);
     }
@@ -105,32 +118,32 @@
 // Transfers one free machine of another shard for a task without room here.
 bool Core::PlanMachineTransfer(Micros now, int shard_id, Plan* plan, const JobSpec& spec) {
   if (now < shards_[static_cast<size_t>(shard_id)].cycle.transfers_after) return false;
-  if (!plan->transferable_known) FindTransferableMachines(now, shard_id, plan);
+  if (!plan->transferable_found) FindTransferableMachines(now, shard_id, plan);
   for (auto it = plan->transferable.begin(); it != plan->transferable.end(); ++it) {
     const auto& [other_id, name] = *it;
     const Shard& other = shards_[static_cast<size_t>(other_id)];
     // The commit would probably conflict with one of the other shard.
-    if (now - other.replica.changed_at < 60 * kMillisecond &&
+    if (now - other.replica.changed_at < kRecentCommitWindow &&
         spec.priority != Priority::kProduction)
       continue;
     // Tables of at most one other shard fit into a transaction.
-    if (!plan->others.empty() && plan->others.count(other_id) == 0) continue;
-    const AssignedMachine& m = other.replica.assignments.machines.at(name);
-    const MachineType* type = machine_types_.Find(m.type);
+    if (!plan->other_tables.empty() && plan->other_tables.count(other_id) == 0) continue;
+    const AssignedMachine& assigned = other.replica.assignments.machines.at(name);
+    const MachineType* type = machine_types_.Find(assigned.type);
     if (type == nullptr || !spec.task_resources.Fits(type->size) || !plan->MayChange(name))
       continue;
     if (!plan->MayChangeOther(other_id, other.replica.assignments, name)) continue;
-    CandidateMachine machine = EmptyMachine(now, m);
+    CandidateMachine machine = MakeCandidate(now, assigned);
     machine.usable = true;
     if (!Allowed(spec, plan->SpreadOf(spec), machine)) continue;
     // Leave the other shard headroom for its services.
-    if (!m.spot && spec.priority != Priority::kProduction) {
+    if (!assigned.spot && spec.priority != Priority::kProduction) {
       int64_t steady_free = 0;
-      for (const auto& [from, n] : plan->transferable) {
+      for (const auto& [from, other_name] : plan->transferable) {
         if (from != other_id) continue;
-        const AssignedMachine& o = other.replica.assignments.machines.at(n);
-        const MachineType* t = machine_types_.Find(o.type);
-        if (!o.spot && t != nullptr) steady_free += t->size.cpus;
+        const AssignedMachine& other_machine = other.replica.assignments.machines.at(other_name);
+        const MachineType* other_type = machine_types_.Find(other_machine.type);
+        if (!other_machine.spot && other_type != nullptr) steady_free += other_type->size.cpus;
       }
       if (steady_free - type->size.cpus <
           static_cast<int64_t>(1000 * settings_.operator_settings.service_headroom_cpus())) {
@@ -138,13 +151,13 @@
       }
     }
     AssignmentTable& changed =
-        plan->others.try_emplace(other_id, other.replica.assignments).first->second;
+        plan->other_tables.try_emplace(other_id, other.replica.assignments).first->second;
     changed.machines.erase(name);
-    plan->assignments.machines[name] = m;
+    plan->assignments.machines[name] = assigned;
     plan->machines.push_back(std::move(machine));
     plan->index.Add(&plan->machines.back());
-    plan->ChangeOther(other_id, other.replica.assignments, name);
-    plan->Change(name);
+    plan->MarkOtherChanged(other_id, other.replica.assignments, name);
+    plan->MarkChanged(name);
     plan->urgent = true;
     plan->transferable.erase(it);
     return true;
@@ -158,7 +171,7 @@
   if (now < shards_[static_cast<size_t>(shard_id)].cycle.transfers_after) return false;
   QuotaShare own = QuotaShareOf(plan->assignments, team, shard_id, settings_.shard_count());
   QuotaShare missing = want;
-  const QuotaShare used = plan->use.teams[team.name];
+  const QuotaShare used = plan->usage.teams[team.name];
   missing.cpus -= own.cpus - used.cpus;
   missing.gpus -= own.gpus - used.gpus;
   bool moved = false;
@@ -167,9 +180,10 @@
     const Shard& other = shards_[static_cast<size_t>(other_id)];
     if (!MayChangeTable(other) || other.cycle.committing) continue;
     if (!plan->MayChangeOther(other_id, other.replica.assignments, "")) continue;
-    if (!plan->others.empty() && plan->others.count(other_id) == 0) continue;
-    const AssignmentTable& theirs =
-        plan->others.count(other_id) != 0 ? plan->others.at(other_id) : other.replica.assignments;
+    if (!plan->other_tables.empty() && plan->other_tables.count(other_id) == 0) continue;
+    const AssignmentTable& theirs = plan->other_tables.count(other_id) != 0
+                                        ? plan->other_tables.at(other_id)
+                                        : other.replica.assignments;
     QuotaShare share = QuotaShareOf(theirs, team, other_id, settings_.shard_count());
     auto theirs_used = other.usage.total.teams.find(team.name);
     QuotaShare move = TransferableQuota(
@@ -177,15 +191,15 @@
         missing);
     if (move.cpus <= 0 && move.gpus <= 0) continue;
     AssignmentTable& changed =
-        plan->others.try_emplace(other_id, other.replica.assignments).first->second;
-    plan->ChangeOther(other_id, other.replica.assignments, "");
+        plan->other_tables.try_emplace(other_id, other.replica.assignments).first->second;
+    plan->MarkOtherChanged(other_id, other.replica.assignments, "");
     changed.shares[team.name] = {share.cpus - move.cpus, share.gpus - move.gpus};
     own.cpus += move.cpus;
     own.gpus += move.gpus;
     missing.cpus -= move.cpus;
     missing.gpus -= move.gpus;
     plan->assignments.shares[team.name] = own;
-    ++counters_.share_moves;
+    ++counters_.quota_transfers;
     moved = true;
   }
   return moved;
--- a/src/core/store/cancellations.cc
+++ b/src/core/store/cancellations.cc
@@ -15,20 +15,21 @@
 
 // Reports all cancellations in the replica, whichever node committed them: any of them may have
 // been confirmed to a user, also if its commit was answered late or not at all.
-void CancellationLog::FillHeartbeat(uint64_t seen, mesh::Heartbeat* heartbeat) const {
-  for (auto it = committed_.lower_bound({seen + 1, ""}); it != committed_.end(); ++it) {
-    heartbeat->cancels.push_back(it->second);
+void CancellationLog::FillHeartbeat(uint64_t replica_revision, mesh::Heartbeat* heartbeat) const {
+  for (auto it = committed_.lower_bound({replica_revision + 1, ""}); it != committed_.end(); ++it) {
+    heartbeat->cancelled_jobs.push_back(it->second);
   }
   for (const std::string& job : reported_) {
-    if (heartbeat->cancels.size() >= kMaxInMessage) break;
-    heartbeat->cancels.push_back(job);
+    if (heartbeat->cancelled_jobs.size() >= kMaxInMessage) break;
+    heartbeat->cancelled_jobs.push_back(job);
   }
-  heartbeat->cancels_from = complete_above_;
+  heartbeat->cancellations_complete_above = complete_above_;
 }
 
-void CancellationLog::PingSent(const std::string& peer, uint64_t ping, Micros now, uint64_t seen) {
+void CancellationLog::PingSent(const std::string& peer, uint64_t ping, Micros now,
+                               uint64_t replica_revision) {
   std::map<uint64_t, SentPing>& pings = peers_[peer].pings;
-  pings[ping] = {now, seen};
+  pings[ping] = {now, replica_revision};
   while (pings.size() > kMaxPings) pings.erase(pings.begin());
 }
 
@@ -39,8 +40,9 @@
   // A pong covers all cancellations that the peer, or an earlier process of it, can have confirmed
   // by then: it confirms only stored ones, has read the store, and has omitted none that this
   // replica lacks.
-  if (pong.seen != 0 && pong.cancels_from <= sent->second.seen) {
-    peer.known_at = std::max(peer.known_at, sent->second.at);
+  if (pong.replica_revision != 0 &&
+      pong.cancellations_complete_above <= sent->second.replica_revision) {
+    peer.known_up_to = std::max(peer.known_up_to, sent->second.at);
   }
   peer.pings.erase(peer.pings.begin(), std::next(sent));
 }
@@ -52,7 +54,7 @@
 Micros CancellationLog::KnownUpTo(Micros now) const {
   Micros bound = now;
   for (const auto& [label, peer] : peers_) {
-    bound = std::min(bound, std::max(replica_time_, peer.known_at));
+    bound = std::min(bound, std::max(replica_time_, peer.known_up_to));
   }
   return bound;
 }
@@ -60,8 +62,8 @@
 Micros CancellationLog::RenewalBound(Micros now) const {
   // The steady clock may start near 0: without this check, an empty replica would look up to date.
   if (!ReplicaWasComplete()) return 0;
-  return KnownUpTo(now) + ShortestOnOtherClock(cancel_) - LongestOnOtherClock(lease_) -
-         kRenewMargin;
+  return KnownUpTo(now) + ShortestOnOtherClock(cancellation_deadline_) -
+         LongestOnOtherClock(lease_) - kRenewMargin;
 }
 
 }  // namespace troutlink
--- a/src/core/store/cancellations.h
+++ b/src/core/store/cancellations.h
@@ -27,7 +27,8 @@
  public:
   // `cancel`: maximum time that tasks may run after a cancellation was confirmed, on the clock of
   // the confirming node. `lease`: duration of an agent's lease, on the agent's clock.
-  CancellationLog(Micros cancel, Micros lease) : cancel_(cancel), lease_(lease) {}
+  CancellationLog(Micros cancellation_deadline, Micros lease)
+      : cancellation_deadline_(cancellation_deadline), lease_(lease) {}
 
   // Adds a peer; call before the first heartbeat.
   void AddPeer(const std::string& label) { peers_[label]; }
@@ -40,14 +41,14 @@
   // checked that the job is not finished in the replica.
   bool AddReported(const std::string& job) { return reported_.insert(job).second; }
   // Whether a peer reported the cancellation and the replica lacks it.
-  bool Reported(const std::string& job) const { return reported_.count(job) != 0; }
+  bool IsReported(const std::string& job) const { return reported_.count(job) != 0; }
 
   // Adds to a heartbeat the cancellations above the revision `seen` of the receiver's replica, and
   // the revision above which they are complete.
-  void FillHeartbeat(uint64_t seen, mesh::Heartbeat* heartbeat) const;
+  void FillHeartbeat(uint64_t replica_revision, mesh::Heartbeat* heartbeat) const;
 
   // Records a ping sent at `now` that named `seen` as this replica's revision.
-  void PingSent(const std::string& peer, uint64_t ping, Micros now, uint64_t seen);
+  void PingSent(const std::string& peer, uint64_t ping, Micros now, uint64_t replica_revision);
   // Handles the pong, whose cancellations have been added already.
   void PongReceived(const std::string& peer, const mesh::Heartbeat& pong);
   // The replica contains every change committed before `time`.
@@ -71,14 +72,14 @@
  private:
   struct SentPing {
     Micros at = 0;
-    uint64_t seen = 0;
+    uint64_t replica_revision = 0;
   };
   struct Peer {
-    Micros known_at = 0;  // all cancellations that the peer knew then are known here
+    Micros known_up_to = 0;  // all cancellations that the peer knew then are known here
     std::map<uint64_t, SentPing> pings;
   };
 
-  const Micros cancel_;
+  const Micros cancellation_deadline_;
   const Micros lease_;
   std::set<std::pair<uint64_t, std::string>> committed_;  // the newest ones, by revision
   uint64_t complete_above_ = 0;  // no cancellation above this revision was dropped
--- a/src/core/store/cluster_version.cc
+++ b/src/core/store/cluster_version.cc
@@ -23,7 +23,7 @@
 
 void ClusterVersion::PublishAnswered(Micros now) {
   publishing_ = false;
-  publish_after_ = now + kPublishPause;
+  publish_after_ = now + kPublishRetryDelay;
 }
 
 bool ClusterVersion::Apply(const std::string& label, const std::string& value, uint64_t revision) {
--- a/src/core/store/cluster_version.h
+++ b/src/core/store/cluster_version.h
@@ -42,7 +42,7 @@
   }
 
  private:
-  static constexpr Micros kPublishPause = 300 * kMillisecond;
+  static constexpr Micros kPublishRetryDelay = 300 * kMillisecond;
 
   struct NodeVersion {
     uint64_t version = 1;  // of a node without a record
--- a/src/core/store/dependencies.cc
+++ b/src/core/store/dependencies.cc
@@ -24,7 +24,7 @@
   Propagate(job);
 }
 
-void DependencyGraph::SetOwn(const std::string& job, const Urgency& own, Micros time) {
+void DependencyGraph::SetOwnUrgency(const std::string& job, const Urgency& own, Micros time) {
   auto found = nodes_.find(job);
   if (found == nodes_.end()) return;
   Node& node = found->second;
@@ -47,12 +47,12 @@
       changed_.insert(dependency);
       Propagate(dependency);
     }
-    DropIfUnused(dependency);
+    RemoveIfUnused(dependency);
   }
-  DropIfUnused(job);
+  RemoveIfUnused(job);
 }
 
-void DependencyGraph::DropIfUnused(const std::string& job) {
+void DependencyGraph::RemoveIfUnused(const std::string& job) {
   auto found = nodes_.find(job);
   if (found == nodes_.end()) return;
   if (found->second.dependents.empty() && found->second.dependencies.empty()) nodes_.erase(found);
@@ -67,14 +67,14 @@
 std::vector<std::string> DependencyGraph::AllDependentsOf(const std::string& job) const {
   std::vector<std::string> all;
   std::set<std::string> seen;
-  std::deque<std::string> open = {job};
-  while (!open.empty()) {
-    const std::string next = std::move(open.front());
-    open.pop_front();
+  std::deque<std::string> queue = {job};
+  while (!queue.empty()) {
+    const std::string next = std::move(queue.front());
+    queue.pop_front();
     for (const std::string& dependent : DependentsOf(next)) {
       if (!seen.insert(dependent).second) continue;
       all.push_back(dependent);
-      open.push_back(dependent);
+      queue.push_back(dependent);
     }
   }
   return all;
@@ -91,26 +91,26 @@
   Urgency inherited;
   for (const std::string& name : node.dependents) {
     const Node& dependent = nodes_.at(name);
-    Urgency asked = MostUrgent(dependent.own, dependent.inherited);
+    Urgency requested = MostUrgent(dependent.own, dependent.inherited);
     // The dependency must be done by then and therefore start earlier by its run time.
-    if (asked.latest_start != Urgency::kNoLimit) asked.latest_start -= node.time;
-    inherited = MostUrgent(inherited, asked);
+    if (requested.latest_start != Urgency::kNoLimit) requested.latest_start -= node.time;
+    inherited = MostUrgent(inherited, requested);
   }
   return inherited;
 }
 
 void DependencyGraph::Propagate(const std::string& job) {
-  std::deque<std::string> open = {job};
-  while (!open.empty()) {
-    const std::string next = std::move(open.front());
-    open.pop_front();
+  std::deque<std::string> queue = {job};
+  while (!queue.empty()) {
+    const std::string next = std::move(queue.front());
+    queue.pop_front();
     for (const std::string& dependency : nodes_.at(next).dependencies) {
       Node& node = nodes_.at(dependency);
       const Urgency inherited = InheritedFromDependents(node);
       if (inherited == node.inherited) continue;
       node.inherited = inherited;
       changed_.insert(dependency);
-      open.push_back(dependency);
+      queue.push_back(dependency);
     }
   }
 }
--- a/src/core/store/dependencies.h
+++ b/src/core/store/dependencies.h
@@ -35,7 +35,7 @@
   void Add(const std::string& job, const std::vector<std::string>& dependencies, const Urgency& own,
            Micros time);
   // Sets the urgency of a job that has dependents but no dependencies of its own.
-  void SetOwn(const std::string& job, const Urgency& own, Micros time);
+  void SetOwnUrgency(const std::string& job, const Urgency& own, Micros time);
   // Removes a finished job, which no longer makes others urgent.
   void Remove(const std::string& job);
 
@@ -62,7 +62,7 @@
   // Updates the inherited urgency of the job's direct and indirect dependencies.
   void Propagate(const std::string& job);
   Urgency InheritedFromDependents(const Node& node) const;
-  void DropIfUnused(const std::string& job);
+  void RemoveIfUnused(const std::string& job);
 
   std::map<std::string, Node> nodes_;
   std::set<std::string> changed_;
--- a/src/core/store/job_table.cc
+++ b/src/core/store/job_table.cc
@@ -49,7 +49,7 @@
 void JobTable::NoteService(const JobSpec& spec) {
   service_teams_.insert(spec.team);
   if (service_images_.size() < kMaxServiceImages) service_images_.insert(spec.image);
-  spread_seen_ = spread_seen_ || spec.spread;
+  had_spread_service_ = had_spread_service_ || spec.spread;
 }
 
 void JobTable::ApplyOpen(const std::string& id, JobEntry* entry) {
@@ -59,11 +59,11 @@
     for (const std::string& dependency : spec.dependencies) {
       const JobEntry* known = Find(dependency);
       if (known == nullptr || known->record.state != JobState::kOpen) continue;
-      dependencies_.SetOwn(dependency, OwnUrgency(*known), StageTime(known->record.spec));
+      dependencies_.SetOwnUrgency(dependency, OwnUrgency(*known), StageTime(known->record.spec));
     }
-    if (HasCancelledDependency(spec)) Cancel(id);
+    if (HasCancelledDependency(spec)) MarkCancelled(id);
   }
-  CheckDependencies(id);
+  UpdateBlocked(id);
   UpdateInheritedUrgency(id);
   UpdateChangedUrgencies();
   open_jobs_.insert(id);
@@ -73,9 +73,9 @@
 void JobTable::ApplyFinished(Micros now, const std::string& id, JobEntry* entry) {
   cascade_cancelled_.erase(id);
   if (entry->record.state == JobState::kCancelled) {
-    for (const std::string& dependent : dependencies_.AllDependentsOf(id)) Cancel(dependent);
+    for (const std::string& dependent : dependencies_.AllDependentsOf(id)) MarkCancelled(dependent);
   }
-  for (const std::string& dependent : dependencies_.DependentsOf(id)) CheckDependencies(dependent);
+  for (const std::string& dependent : dependencies_.DependentsOf(id)) UpdateBlocked(dependent);
   dependencies_.Remove(id);
   UpdateChangedUrgencies();
   open_jobs_.erase(id);
@@ -85,16 +85,16 @@
 
 void JobTable::DropSpec(JobEntry* entry) {
   // Records of finished jobs are kept forever, therefore in a small form.
-  JobSpec small;
-  small.id = entry->record.spec.id;
-  small.tasks = entry->record.spec.tasks;
-  small.kind = entry->record.spec.kind;
+  JobSpec summary;
+  summary.id = entry->record.spec.id;
+  summary.tasks = entry->record.spec.tasks;
+  summary.kind = entry->record.spec.kind;
   // Tasks that are still on machines count for resources and quotas.
-  small.team = entry->record.spec.team;
-  small.task_resources = entry->record.spec.task_resources;
-  small.save = entry->record.spec.save;
-  small.checkpoint = entry->record.spec.checkpoint;
-  entry->record.spec = std::move(small);
+  summary.team = entry->record.spec.team;
+  summary.task_resources = entry->record.spec.task_resources;
+  summary.save = entry->record.spec.save;
+  summary.checkpoint = entry->record.spec.checkpoint;
+  entry->record.spec = std::move(summary);
 }
 
 bool JobTable::HasCancelledDependency(const JobSpec& spec) const {
@@ -104,11 +104,11 @@
 }
 
 void JobTable::CascadeCancellation(const std::string& id) {
-  for (const std::string& dependent : dependencies_.DependentsOf(id)) Cancel(dependent);
+  for (const std::string& dependent : dependencies_.DependentsOf(id)) MarkCancelled(dependent);
 }
 
 // Marks the job and all its dependents as cancelled; their records follow.
-void JobTable::Cancel(const std::string& id) {
+void JobTable::MarkCancelled(const std::string& id) {
   if (!cascade_cancelled_.insert(id).second) return;
   size_t count = 1;
   for (const std::string& dependent : dependencies_.AllDependentsOf(id)) {
@@ -117,7 +117,7 @@
   observer_->OnCascadeCancelled(id, count);
 }
 
-void JobTable::CheckDependencies(const std::string& id) {
+void JobTable::UpdateBlocked(const std::string& id) {
   auto found = jobs_.find(id);
   if (found == jobs_.end() || found->second.record.state != JobState::kOpen) return;
   JobEntry& entry = found->second;
@@ -161,7 +161,7 @@
   const JobEntry* entry = Find(id);
   if (entry != nullptr && entry->record.state == JobState::kDone) return KnownJobState::kDone;
   const bool cancelled = entry != nullptr && entry->record.state == JobState::kCancelled;
-  if (cancelled || cascade_cancelled_.count(id) != 0 || cancellations_->Reported(id)) {
+  if (cancelled || cascade_cancelled_.count(id) != 0 || cancellations_->IsReported(id)) {
     return KnownJobState::kCancelled;
   }
   // Attempts belong to accepted jobs: a job that the replica lacks has yet to be read.
--- a/src/core/store/job_table.h
+++ b/src/core/store/job_table.h
@@ -40,7 +40,7 @@
   // State of the job according to its record, peers and its dependencies.
   KnownJobState StateOf(const std::string& id) const;
   // Whether the job is cancelled or done, so that its tasks must end.
-  bool IsOver(const std::string& id) const { return troutlink::IsOver(StateOf(id)); }
+  bool IsFinished(const std::string& id) const { return troutlink::IsFinished(StateOf(id)); }
 
   // Whether a dependency of the job is known to be cancelled.
   bool HasCancelledDependency(const JobSpec& spec) const;
@@ -55,7 +55,7 @@
   size_t CountBlocked() const;
 
   // Whether there ever was a service spread over zones.
-  bool spread_seen() const { return spread_seen_; }
+  bool had_spread_service() const { return had_spread_service_; }
   // Whether the image belongs to a service. Only the first kMaxServiceImages images are known.
   bool IsServiceImage(const std::string& image) const { return service_images_.count(image) != 0; }
   // Whether the team ever had a service.
@@ -66,9 +66,9 @@
   void ApplyOpen(const std::string& id, JobEntry* entry);
   void ApplyFinished(Micros now, const std::string& id, JobEntry* entry);
   static void DropSpec(JobEntry* entry);
-  void Cancel(const std::string& id);
+  void MarkCancelled(const std::string& id);
   // Updates whether the job is blocked, and when it became ready.
-  void CheckDependencies(const std::string& id);
+  void UpdateBlocked(const std::string& id);
   void UpdateInheritedUrgency(const std::string& id);
   // Updates all jobs whose inherited urgency changed in the graph.
   void UpdateChangedUrgencies();
@@ -82,7 +82,7 @@
   std::set<std::string> open_jobs_;
   DependencyGraph dependencies_;
   std::set<std::string> cascade_cancelled_;
-  bool spread_seen_ = false;
+  bool had_spread_service_ = false;
   std::set<std::string> service_images_;
   std::set<std::string> service_teams_;
 };
--- a/src/core/store/known_job_state.h
+++ b/src/core/store/known_job_state.h
@@ -16,7 +16,7 @@
 };
 
 // Whether the job is finished, so that its tasks must end.
-constexpr bool IsOver(KnownJobState state) {
+constexpr bool IsFinished(KnownJobState state) {
   return state == KnownJobState::kCancelled || state == KnownJobState::kDone;
 }
 
--- a/src/core/store/machine_codec.cc
+++ b/src/core/store/machine_codec.cc
@@ -12,20 +12,20 @@
 
 constexpr uint64_t kSpot = 1;
 constexpr uint64_t kDraining = 2;
-constexpr uint64_t kHelps = 4;
+constexpr uint64_t kHasTailJob = 4;
 
 // Strings shared by many machines are written once, at the front.
-class TextTable {
+class StringTable {
  public:
   uint64_t Index(const std::string& text) {
-    auto [it, fresh] = index_.try_emplace(text, texts_.size());
-    if (fresh) texts_.push_back(text);
+    auto [it, inserted] = index_.try_emplace(text, texts_.size());
+    if (inserted) texts_.push_back(text);
     return it->second;
   }
   std::string Encode() const {
     std::string out;
     AppendTextVarint(&out, texts_.size());
-    for (const std::string& t : texts_) AppendSizedText(&out, t);
+    for (const std::string& text : texts_) AppendSizedText(&out, text);
     return out;
   }
 
@@ -48,10 +48,10 @@
     PutAddress(machine.addr);
     AppendTextVarint(&body_, table_.Index(machine.type));
     AppendTextVarint(&body_, table_.Index(machine.zone));
-    const bool helps = !machine.helps.empty();
+    const bool has_tail_job = !machine.tail_job.empty();
     AppendTextVarint(&body_, (machine.spot ? kSpot : 0) | (machine.draining ? kDraining : 0) |
-                                 (helps ? kHelps : 0));
-    if (helps) PutJob(machine.helps);
+                                 (has_tail_job ? kHasTailJob : 0));
+    if (has_tail_job) PutJob(machine.tail_job);
     PutAttempts(machine.attempts);
     ++count_;
   }
@@ -64,7 +64,7 @@
  private:
   void PutName(const std::string& name) {
     if (compact_) {
-      PutDifference(&name_, name);
+      PutFrontCoded(&name_, name);
     } else {
       AppendSizedText(&body_, name);
     }
@@ -76,7 +76,7 @@
       return;
     }
     const size_t colon = std::min(address.rfind(':'), address.size());
-    PutDifference(&host_, address.substr(0, colon));
+    PutFrontCoded(&host_, address.substr(0, colon));
     AppendTextVarint(&body_, table_.Index(address.substr(colon)));
   }
   void PutJob(const std::string& job) {
@@ -101,7 +101,7 @@
     }
   }
   // Front coding: length of the prefix shared with `previous`, then the rest.
-  void PutDifference(std::string* previous, const std::string& text) {
+  void PutFrontCoded(std::string* previous, const std::string& text) {
     const auto end = std::mismatch(previous->begin(), previous->end(), text.begin(), text.end());
     const auto shared = static_cast<size_t>(end.first - previous->begin());
     AppendTextVarint(&body_, shared);
@@ -110,7 +110,7 @@
   }
 
   const bool compact_;
-  TextTable table_;
+  StringTable table_;
   std::string body_;
   uint64_t count_ = 0;
   std::string name_, host_;  // of the previous machine
@@ -143,28 +143,29 @@
   }
   bool ReadMachine(AssignedMachine* machine) {
     uint64_t flags = 0;
-    if (!ReadName(&machine->name) || !ReadAddress(&machine->addr) || !ReadShared(&machine->type) ||
-        !ReadShared(&machine->zone) || !ReadTextVarint(&in_, &flags)) {
+    if (!ReadName(&machine->name) || !ReadAddress(&machine->addr) ||
+        !ReadTableString(&machine->type) || !ReadTableString(&machine->zone) ||
+        !ReadTextVarint(&in_, &flags)) {
       return false;
     }
     machine->spot = (flags & kSpot) != 0;
     machine->draining = (flags & kDraining) != 0;
-    if ((flags & kHelps) != 0 && !ReadJob(&machine->helps)) return false;
+    if ((flags & kHasTailJob) != 0 && !ReadJob(&machine->tail_job)) return false;
     return ReadAttempts(&machine->attempts);
   }
   bool ReadName(std::string* name) {
-    return compact_ ? ReadDifference(&name_, name) : ReadSizedText(&in_, name);
+    return compact_ ? ReadFrontCoded(&name_, name) : ReadSizedText(&in_, name);
   }
   bool ReadAddress(std::string* address) {
     if (!compact_) return ReadSizedText(&in_, address);
     std::string port;
-    if (!ReadDifference(&host_, address) || !ReadShared(&port)) return false;
+    if (!ReadFrontCoded(&host_, address) || !ReadTableString(&port)) return false;
     *address += port;
     return true;
   }
   bool ReadJob(std::string* job) {
     std::string short_id;
-    if (!(compact_ ? ReadShared(&short_id) : ReadSizedText(&in_, &short_id))) return false;
+    if (!(compact_ ? ReadTableString(&short_id) : ReadSizedText(&in_, &short_id))) return false;
     *job = LongId(short_id);
     return true;
   }
@@ -183,13 +184,13 @@
     }
     return true;
   }
-  bool ReadShared(std::string* text) {
+  bool ReadTableString(std::string* text) {
     uint64_t index = 0;
     if (!ReadTextVarint(&in_, &index) || index >= texts_.size()) return false;
     *text = texts_[index];
     return true;
   }
-  bool ReadDifference(std::string* previous, std::string* text) {
+  bool ReadFrontCoded(std::string* previous, std::string* text) {
     uint64_t shared = 0;
     std::string rest;
     if (!ReadTextVarint(&in_, &shared) || shared > previous->size() ||
--- a/src/core/store/records.cc
+++ b/src/core/store/records.cc
@@ -17,7 +17,7 @@
 
 constexpr uint64_t kMaxTaskNumber = 100000;
 
-int ToInt(std::string_view s) {
+int ParseNumber(std::string_view s) {
   int v = -1;
   auto r = std::from_chars(s.data(), s.data() + s.size(), v);
   return r.ec == std::errc() && r.ptr == s.data() + s.size() ? v : -1;
@@ -25,26 +25,28 @@
 
 }  // namespace
 
-std::string JobKey(std::string_view id) { return std::string(kRoot).append("job/").append(id); }
+std::string JobKey(std::string_view id) {
+  return std::string(kKeyPrefix).append("job/").append(id);
+}
 std::string LeadershipKey(int shard_id) {
-  return std::string(kRoot) + "claim/" + std::to_string(shard_id);
+  return std::string(kKeyPrefix) + "claim/" + std::to_string(shard_id);
 }
 std::string AssignmentKey(int shard_id, int chunk, TableForm form) {
   const std::string family = form == TableForm::kCompact ? "table/" : "roster/";
-  return std::string(kRoot) + family + std::to_string(shard_id) + "/" + std::to_string(chunk);
+  return std::string(kKeyPrefix) + family + std::to_string(shard_id) + "/" + std::to_string(chunk);
 }
 std::string ProgressKey(int shard_id, int page) {
-  const std::string key = std::string(kRoot) + "progress/" + std::to_string(shard_id);
+  const std::string key = std::string(kKeyPrefix) + "progress/" + std::to_string(shard_id);
   return page == 0 ? key : key + "/" + std::to_string(page);
 }
 std::string NodeVersionKey(std::string_view label) {
-  return std::string(kRoot).append("node/").append(label);
+  return std::string(kKeyPrefix).append("node/").append(label);
 }
 
 Key ParseKey(std::string_view key) {
   Key out;
-  if (key.substr(0, kRoot.size()) != kRoot) return out;
-  key.remove_prefix(kRoot.size());
+  if (key.substr(0, kKeyPrefix.size()) != kKeyPrefix) return out;
+  key.remove_prefix(kKeyPrefix.size());
   size_t slash = key.find('/');
   if (slash == std::string_view::npos) return out;
   std::string_view kind = key.substr(0, slash), rest = key.substr(slash + 1);
@@ -55,19 +57,19 @@
     out.kind = Key::Kind::kNodeVersion;
     out.id = rest;
   } else if (kind == "claim") {
-    out.shard_id = ToInt(rest);
+    out.shard_id = ParseNumber(rest);
     if (out.shard_id >= 0) out.kind = Key::Kind::kLeadership;
   } else if (kind == "progress") {
     const size_t end = rest.find('/');
-    out.shard_id = ToInt(rest.substr(0, end));
-    if (end != std::string_view::npos) out.chunk = ToInt(rest.substr(end + 1));
+    out.shard_id = ParseNumber(rest.substr(0, end));
+    if (end != std::string_view::npos) out.chunk = ParseNumber(rest.substr(end + 1));
     if (out.shard_id >= 0 && out.chunk >= 0) out.kind = Key::Kind::kProgress;
   } else if (kind == "roster" || kind == "table") {
     const size_t end = rest.find('/');
     if (end == std::string_view::npos) return out;
     out.form = kind == "table" ? TableForm::kCompact : TableForm::kOriginal;
-    out.shard_id = ToInt(rest.substr(0, end));
-    out.chunk = ToInt(rest.substr(end + 1));
+    out.shard_id = ParseNumber(rest.substr(0, end));
+    out.chunk = ParseNumber(rest.substr(end + 1));
     if (out.shard_id >= 0 && out.chunk >= 0) out.kind = Key::Kind::kAssignments;
   }
   return out;
@@ -181,11 +183,11 @@
     out["next"] = assignments.next_number;
     Json rentals = Json::array(), shares = Json::object(), helps = Json::object();
     for (const auto& [id, h] : assignments.rentals) {
-      rentals.push_back(
-          Json::array({id, h.ask.type, h.ask.zone, h.ask.spot, h.ask.count, h.helps}));
+      rentals.push_back(Json::array(
+          {id, h.request.type, h.request.zone, h.request.spot, h.request.count, h.tail_job}));
     }
     for (const auto& [team, s] : assignments.shares) shares[team] = Json::array({s.cpus, s.gpus});
-    for (const auto& [job, h] : assignments.helps) helps[job] = h.credit;
+    for (const auto& [job, h] : assignments.tail_grants) helps[job] = h.credit;
     out["hires"] = std::move(rentals);
     out["shares"] = std::move(shares);
     out["helps"] = std::move(helps);
@@ -205,16 +207,16 @@
     assignments->next_number = doc->at("next").get<uint64_t>();
     for (const Json& h : doc->at("hires")) {
       Rental rental;
-      rental.ask = {h.at(0).get<std::string>(), h.at(1).get<std::string>(),
-                    h.at(2).get<std::string>(), h.at(3).get<bool>(), h.at(4).get<int>()};
-      rental.helps = h.at(5).get<std::string>();
-      assignments->rentals[rental.ask.request] = rental;
+      rental.request = {h.at(0).get<std::string>(), h.at(1).get<std::string>(),
+                        h.at(2).get<std::string>(), h.at(3).get<bool>(), h.at(4).get<int>()};
+      rental.tail_job = h.at(5).get<std::string>();
+      assignments->rentals[rental.request.id] = rental;
     }
     for (const auto& [team, s] : doc->at("shares").items()) {
       assignments->shares[team] = {s.at(0).get<int64_t>(), s.at(1).get<int64_t>()};
     }
     for (const auto& [job, credit] : doc->at("helps").items()) {
-      assignments->helps[job] = {credit.get<double>()};
+      assignments->tail_grants[job] = {credit.get<double>()};
     }
   } catch (const Json::exception&) {
     return false;
@@ -229,17 +231,17 @@
              : 0;
 }
 
-int ChunksForCompactForm(const AssignmentTable& assignments, int64_t most_bytes) {
-  constexpr int kMostChunks = 1024;
+int ChunksForCompactForm(const AssignmentTable& assignments, int64_t max_bytes) {
+  constexpr int kMaxChunks = 1024;
   AssignmentTable compact = assignments;
   compact.form = TableForm::kCompact;
   // Doubling splits all chunks evenly.
-  for (compact.chunks = 1 + 4; compact.chunks < kMostChunks; compact.chunks += compact.chunks - 1) {
+  for (compact.chunks = 1 + 4; compact.chunks < kMaxChunks; compact.chunks += compact.chunks - 1) {
     int64_t largest = 0;
     for (int chunk = 1; chunk < compact.chunks; ++chunk) {
       largest = std::max(largest, StoredSize(EncodeChunk(compact, chunk)));
     }
-    if (largest <= most_bytes) break;
+    if (largest <= max_bytes) break;
   }
   return compact.chunks;
 }
--- a/src/core/store/records.h
+++ b/src/core/store/records.h
@@ -15,7 +15,7 @@
 namespace troutlink {
 
 // Common prefix of all keys, so that one watch covers them.
-inline constexpr std::string_view kRoot = "troutlink/";
+inline constexpr std::string_view kKeyPrefix = "troutlink/";
 
 std::string JobKey(std::string_view id);
 std::string LeadershipKey(int shard_id);
@@ -79,7 +79,7 @@
   std::string zone;
   bool spot = false;
   bool draining = false;  // being returned: takes no work and cannot be transferred
-  std::string helps;      // id of the job for whose tail it was rented
+  std::string tail_job;   // id of the job for whose tail it was rented
   std::vector<Attempt> attempts;
   bool operator==(const AssignedMachine&) const = default;
 };
@@ -87,10 +87,10 @@
 // A rental request without a definite answer. It stays recorded until there is one, so that no
 // machine is rented and forgotten.
 struct Rental {
-  RentRequest ask;
-  std::string helps;
+  RentRequest request;
+  std::string tail_job;
   bool operator==(const Rental& o) const {
-    return ask.request == o.ask.request && ask.count == o.ask.count;
+    return request.id == o.request.id && request.count == o.request.count;
   }
 };
 
@@ -115,8 +115,8 @@
   uint64_t next_number = 1;  // for attempts and rental requests
   std::map<std::string, AssignedMachine> machines;
   std::map<std::string, Rental> rentals;
-  std::map<std::string, QuotaShare> shares;  // by team; absent: an equal share
-  std::map<std::string, TailGrant> helps;    // by job
+  std::map<std::string, QuotaShare> shares;      // by team; absent: an equal share
+  std::map<std::string, TailGrant> tail_grants;  // by job
   bool operator==(const AssignmentTable&) const = default;
 
   // Chunk that stores the machine.
@@ -133,7 +133,7 @@
 std::string EncodeChunk(const AssignmentTable& assignments, int chunk);
 bool DecodeChunk(std::string_view value, int chunk, AssignmentTable* assignments);
 // Minimum number of chunks in the compact form so that none exceeds `most_bytes`.
-int ChunksForCompactForm(const AssignmentTable& assignments, int64_t most_bytes);
+int ChunksForCompactForm(const AssignmentTable& assignments, int64_t max_bytes);
 // Size of a stored value as the key-value store counts it.
 int64_t StoredSize(std::string_view value);
 
--- a/src/core/store/replica.cc
+++ b/src/core/store/replica.cc
@@ -6,7 +6,7 @@
 namespace troutlink {
 
 namespace {
-const std::string kTypesKey = std::string(kRoot) + "types";
+const std::string kTypesKey = std::string(kKeyPrefix) + "types";
 }  // namespace
 
 Replica::Replica(int shard_count, JobTable* jobs, ClusterVersion* cluster_version, Effects* effects,
@@ -88,7 +88,8 @@
     TableOf(parsed.shard_id).EraseOriginalChunk(parsed.chunk);
   } else if (parsed.kind == Key::Kind::kJob) {
     // The service never deletes job records.
-    effects_->Log(LogLine::Level::kError, "job record was deleted, which this service never does: " + key);
+    effects_->Log(LogLine::Level::kError,
+                  "job record was deleted, which this service never does: " + key);
   }
 }
 
--- a/src/core/store/replica_feed.cc
+++ b/src/core/store/replica_feed.cc
@@ -4,9 +4,9 @@
 
 namespace troutlink {
 
-ReplicaFeed::Step ReplicaFeed::Due(Micros now) const {
-  if (watching_ || listing_ || now < next_try_) return Step::kWait;
-  const bool list = !synced_ || list_requested_ || now - followed_at_ > kWatchGap;
+ReplicaFeed::Step ReplicaFeed::NextStep(Micros now) const {
+  if (watching_ || listing_ || now < next_step_at_) return Step::kWait;
+  const bool list = !synced_ || list_requested_ || now - last_answer_at_ > kMaxWatchGap;
   return list ? Step::kList : Step::kWatch;
 }
 
@@ -25,35 +25,35 @@
 
 void ReplicaFeed::ListFailed(Micros now) {
   listing_ = false;
-  next_try_ = now + kListPause;
+  next_step_at_ = now + kListRetryDelay;
 }
 
 void ReplicaFeed::ListFinished(Micros now) {
   listing_ = false;
   synced_ = true;
-  followed_at_ = now;
+  last_answer_at_ = now;
   revision_ = list_revision();
   complete_up_to_ = std::max(complete_up_to_, list_sent_);
 }
 
 void ReplicaFeed::WatchFailed(Micros now) {
   watching_ = false;
-  next_try_ = now + kWatchRetry;
+  next_step_at_ = now + kWatchRetryDelay;
 }
 
 void ReplicaFeed::WatchTooOld(Micros now) {
   watching_ = false;
   synced_ = false;
-  next_try_ = now;
+  next_step_at_ = now;
 }
 
 void ReplicaFeed::WatchAnswered(Micros now, Micros sent, uint64_t revision) {
   watching_ = false;
-  followed_at_ = now;
+  last_answer_at_ = now;
   revision_ = std::max(revision_, revision);
   complete_up_to_ = std::max(complete_up_to_, sent);
 }
 
-void ReplicaFeed::PauseWatch(Micros now) { next_try_ = now + kWatchPause; }
+void ReplicaFeed::DelayWatch(Micros now) { next_step_at_ = now + kWatchDelay; }
 
 }  // namespace troutlink
--- a/src/core/store/replica_feed.h
+++ b/src/core/store/replica_feed.h
@@ -17,7 +17,7 @@
  public:
   enum class Step { kWait, kList, kWatch };
   // The step to take now.
-  Step Due(Micros now) const;
+  Step NextStep(Micros now) const;
 
   void ListStarted(Micros now);
   void ListPageRead(uint64_t revision);
@@ -32,7 +32,7 @@
   // The changes up to `revision` have been applied; the watch was sent at `sent`.
   void WatchAnswered(Micros now, Micros sent, uint64_t revision);
   // Delays the next watch briefly.
-  void PauseWatch(Micros now);
+  void DelayWatch(Micros now);
 
   // Whether the replica was read completely and has been followed since.
   bool synced() const { return synced_; }
@@ -47,20 +47,20 @@
   bool list_requested() const { return list_requested_; }
 
  private:
-  static constexpr Micros kListPause = 300 * kMillisecond;
-  static constexpr Micros kWatchRetry = 200 * kMillisecond;
-  static constexpr Micros kWatchPause = 40 * kMillisecond;
+  static constexpr Micros kListRetryDelay = 300 * kMillisecond;
+  static constexpr Micros kWatchRetryDelay = 200 * kMillisecond;
+  static constexpr Micros kWatchDelay = 40 * kMillisecond;
   // After a longer gap, the changes in one watch answer might not fit into memory.
-  static constexpr Micros kWatchGap = 6 * kSecond;
+  static constexpr Micros kMaxWatchGap = 6 * kSecond;
 
   bool synced_ = false;
   bool listing_ = false;
   bool watching_ = false;
-  Micros next_try_ = 0;
+  Micros next_step_at_ = 0;
   Micros list_sent_ = 0;
   std::optional<uint64_t> list_revision_;  // of the first page
   bool list_requested_ = false;
-  Micros followed_at_ = 0;  // last answer of a watch, or completion of a list
+  Micros last_answer_at_ = 0;  // last answer of a watch, or completion of a list
   uint64_t revision_ = 0;
   Micros complete_up_to_ = 0;
 };
--- a/src/core/store/replica_sync.h
+++ b/src/core/store/replica_sync.h
@@ -27,7 +27,7 @@
 class ReplicaSync {
  public:
   // Must outlive this object.
-  struct Parts {
+  struct Collaborators {
     Replica* replica;
     const JobTable* jobs;  // of the replica, for the log
     ClusterVersion* cluster_version;
@@ -38,8 +38,8 @@
     ReplicaObserver* observer;
   };
   // `boot` identifies this incarnation of the process.
-  ReplicaSync(const Settings& settings, uint64_t boot, const Parts& parts)
-      : settings_(settings), boot_(boot), parts_(parts) {}
+  ReplicaSync(const Settings& settings, uint64_t boot, const Collaborators& collaborators)
+      : settings_(settings), boot_(boot), collaborators_(collaborators) {}
 
   // Starts a list or a watch if one is due. Call several times a second.
   void Run(Micros now);
@@ -71,7 +71,7 @@
 
   const Settings& settings_;
   const uint64_t boot_;
-  const Parts parts_;
+  const Collaborators collaborators_;
   ReplicaFeed feed_;
   std::map<std::string, ListItem> list_items_;  // of the current list, by key
 };
--- a/src/core/store/table_replica.cc
+++ b/src/core/store/table_replica.cc
@@ -63,7 +63,7 @@
   table.next_number = header.next_number;
   table.rentals = std::move(header.rentals);
   table.shares = std::move(header.shares);
-  table.helps = std::move(header.helps);
+  table.tail_grants = std::move(header.tail_grants);
   DropMigratedMachines(now);
 }
 
--- a/src/core/takeover.cc
+++ b/src/core/takeover.cc
@@ -8,7 +8,7 @@
 namespace troutlink {
 
 namespace {
-constexpr Micros kHeardSlack = 3 * kSecond;
+constexpr Micros kHeartbeatMargin = 3 * kSecond;
 }  // namespace
 
 void Core::OnElected(Micros now, int shard_id) {
@@ -38,13 +38,13 @@
   MarkDirty(shard_id);
 }
 
-void Core::OnEpochFell(int shard_id, uint64_t epoch, uint64_t revision) {
+void Core::OnEpochRegressed(int shard_id, uint64_t epoch, uint64_t revision) {
   ++counters_.elections;
-  NoteViolation(Violation::kEpochFell, Event("election")
-                                           .With("shard", shard_id)
-                                           .With("epoch", epoch)
-                                           .With("revision", revision)
-                                           .text());
+  RecordViolation(Violation::kEpochRegressed, Event("election")
+                                                  .With("shard", shard_id)
+                                                  .With("epoch", epoch)
+                                                  .With("revision", revision)
+                                                  .text());
 }
 
 void Core::OnLeadershipLost(Micros /*now*/, int shard_id, LossReason reason) {
@@ -64,41 +64,42 @@
   // Silence reported by the previous leader counts if the report is recent. Otherwise each machine
   // gets time for two heartbeats first: it may have been heard elsewhere.
   Micros last_alive = now,
-         earliest = now - settings_.agent_lease + 2 * settings_.heartbeat_period + kHeardSlack;
+         earliest = now - settings_.agent_lease + 2 * settings_.heartbeat_period + kHeartbeatMargin;
   if (const Peer* peer = peers_.Find(shard.leadership.previous_leader);
       peer != nullptr && peer->last_heard != 0) {
     last_alive = peer->last_heard;
-    if (now - last_alive < 2 * session_lease_.life() + kHeardSlack) earliest = 0;
+    if (now - last_alive < 2 * session_lease_.ttl() + kHeartbeatMargin) earliest = 0;
   }
   earliest = std::min(earliest, now);
   for (const auto& [name, machine] : shard.replica.assignments.machines) {
-    AgentState& info = machines_[name];
-    InheritMachine(shard.leadership.epoch, machine, &info);
+    AgentState& agent = machines_[name];
+    InheritMachine(shard.leadership.epoch, machine, &agent);
     // Silence counts from when the previous leader missed the machine, or from the end of that
     // leader, and not from the election: repeated failovers must not extend the timeout.
-    const bool was_missed = info.reported_silent_since > info.heard;
-    info.since = std::max(was_missed ? info.reported_silent_since : last_alive, earliest);
-    if (info.first_heard == 0 && (was_missed || !machine.addr.empty())) {
-      info.first_heard = info.since;
+    const bool was_silent = agent.reported_silent_since > agent.last_heard;
+    agent.observed_since =
+        std::max(was_silent ? agent.reported_silent_since : last_alive, earliest);
+    if (agent.first_heartbeat_at == 0 && (was_silent || !machine.addr.empty())) {
+      agent.first_heartbeat_at = agent.observed_since;
     }
-    instance_returns_.Restart(name);
+    instance_returns_.ForgetInFlight(name);
     free_since_.erase(name);
   }
 }
 
-void Core::InheritMachine(uint64_t epoch, const AssignedMachine& machine, AgentState* info) {
+void Core::InheritMachine(uint64_t epoch, const AssignedMachine& machine, AgentState* agent) {
   // Commands of the previous leader may still run until the agent has seen the new token; until
   // then absences prove nothing.
-  info->required_token = std::max(info->required_token, TokenForEpoch(epoch));
-  info->assigned_epoch = epoch;
+  agent->required_token = std::max(agent->required_token, TokenForEpoch(epoch));
+  agent->assigned_epoch = epoch;
   // Conclusions from an earlier leadership of this node are out of date.
-  info->declared_lost = info->drain = false;
-  info->ignored_replies = info->lease_losses = 0;
-  info->avoid_until = 0;
-  info->direct_busy = false;
-  info->idle_since = 0;
-  if (!machine.addr.empty()) info->addr = machine.addr;
-  info->probe = true;
+  agent->declared_lost = agent->consolidating = false;
+  agent->ignored_replies = agent->lease_losses = 0;
+  agent->unschedulable_until = 0;
+  agent->direct_call_in_flight = false;
+  agent->idle_since = 0;
+  if (!machine.addr.empty()) agent->addr = machine.addr;
+  agent->probe_pending = true;
 }
 
 }  // namespace troutlink
--- a/src/core/user_api_view.cc
+++ b/src/core/user_api_view.cc
@@ -26,10 +26,10 @@
 
 TaskCounts Core::UserApiView::TaskCountsOf(const std::string& id, const JobRecord& record) const {
   TaskCounts counts;
-  auto run = core_.executions_.find(id);
-  if (run != core_.executions_.end()) {
-    counts.done = run->second.done;
-    counts.running = run->second.placed;
+  auto execution = core_.executions_.find(id);
+  if (execution != core_.executions_.end()) {
+    counts.done = execution->second.done;
+    counts.running = execution->second.placed;
   } else if (IsShard(record.shard_id)) {
     const Shard& shard = core_.ShardAt(record.shard_id);
     auto progress = shard.replica.progress.find(id);
@@ -61,7 +61,7 @@
 
 bool Core::UserApiView::AllNodesCurrent() const { return core_.cluster_version_.all_current(); }
 
-std::string Core::UserApiView::FreshPeer(Micros now) const {
+std::string Core::UserApiView::MostRecentPeer(Micros now) const {
   const Peer* best = nullptr;
   for (const auto& [label, peer] : core_.peers_.peers()) {
     if (peer.last_heard == 0 || now - peer.last_heard > kPeerFresh || peer.state_age > kPeerFresh) {
@@ -82,16 +82,16 @@
   core_.OnCancellationReported(now, job_id);
 }
 
-void Core::UserApiView::HastenHeartbeat(Micros now) { core_.heartbeats_.SendSoon(now); }
+void Core::UserApiView::RequestHeartbeat(Micros now) { core_.heartbeats_.SendNextTick(now); }
 
 int Core::UserApiView::ShardCount() const { return core_.settings_.shard_count(); }
 
 Micros Core::UserApiView::LastTick() const { return core_.node_health_.last_tick(); }
 
 void Core::UserApiView::VisitMachines(int shard_id, const MachineVisitor& visit) const {
-  for (const MachineUsage& use : core_.ShardAt(shard_id).usage.machines) {
-    visit({*use.machine, core_.machine_types_.Find(use.machine->type), use.all, use.by_priority,
-           use.images});
+  for (const MachineUsage& usage : core_.ShardAt(shard_id).usage.machines) {
+    visit({*usage.machine, core_.machine_types_.Find(usage.machine->type), usage.all,
+           usage.by_priority, usage.images});
   }
 }
 
@@ -106,8 +106,8 @@
 }
 
 bool Core::UserApiView::CachesImage(const std::string& machine, const std::string& image) const {
-  auto info = core_.machines_.find(machine);
-  return info != core_.machines_.end() && info->second.images.count(image) != 0;
+  auto agent = core_.machines_.find(machine);
+  return agent != core_.machines_.end() && agent->second.images.count(image) != 0;
 }
 
 bool Core::UserApiView::HasLiveLeader(int shard_id) const {
--- a/src/core/user_api_view.h
+++ b/src/core/user_api_view.h
@@ -38,13 +38,13 @@
   void NoteStateAnswer(Micros now) override;
   const StateLimits& Limits() const override;
   bool AllNodesCurrent() const override;
-  std::string FreshPeer(Micros now) const override;
+  std::string MostRecentPeer(Micros now) const override;
   const std::vector<MachineType>& MachineTypes() const override;
   Micros WallNow(Micros now) const override;
 
   // CancellationChannel.
   void LearnCancellation(Micros now, const std::string& job_id) override;
-  void HastenHeartbeat(Micros now) override;
+  void RequestHeartbeat(Micros now) override;
 
   // ShardLoads.
   int ShardCount() const override;
--- a/src/mesh/codec.cc
+++ b/src/mesh/codec.cc
@@ -13,12 +13,11 @@
 namespace troutlink::mesh {
 namespace {
 
-// The longest list that is decoded.
+// Maximum length of a decoded list.
 constexpr uint64_t kMaxItems = 100000;
 
-// The number of a message's kind in its frame. A kind keeps its form: a changed one gets a new
-// number, so that a node of another release skips it. 0 and 1 were heartbeats that told of a
-// node's own cancels only.
+// Message kinds in frames. The form of a kind never changes: a changed message gets a new kind,
+// which nodes of other releases skip. 0 and 1 are retired heartbeat forms.
 enum class Kind : uint8_t {
   kRelay = 2,
   kRelayReply = 3,
@@ -35,8 +34,8 @@
 Kind KindOf(const ForwardedRequest&) { return Kind::kForward; }
 Kind KindOf(const ForwardedResponse&) { return Kind::kForwardReply; }
 
-// Put() appends a value to a frame's content. Overloads: integers, texts, the structs of
-// messages.h in the order of their fields, and lists of any of them.
+// Put() appends a value to a frame. Overloads for integers, strings, the structs of messages.h
+// field by field, and lists of them.
 void Put(std::string* out, uint64_t value) { PutVarint(out, value); }
 
 void Put(std::string* out, const std::string& text) {
@@ -67,10 +66,10 @@
   Put(out, heartbeat.seq);
   Put(out, heartbeat.state_age_us);
   Put(out, heartbeat.epochs);
-  Put(out, heartbeat.cancels);
-  Put(out, heartbeat.cancels_from);
-  Put(out, heartbeat.seen);
-  Put(out, heartbeat.wanted);
+  Put(out, heartbeat.cancelled_jobs);
+  Put(out, heartbeat.cancellations_complete_above);
+  Put(out, heartbeat.replica_revision);
+  Put(out, heartbeat.wanted_shards);
   Put(out, heartbeat.cached_images);
   Put(out, heartbeat.silent_machines);
 }
@@ -106,7 +105,7 @@
   for (const Item& item : list) Put(out, item);
 }
 
-// Get() reads what Put() wrote from the front of `in` and advances it; false when it ends
+// Get() reads the output of Put() from the front of `in` and advances it. Returns false if it ends
 // early or is malformed.
 bool Get(std::string_view* in, uint64_t* value) { return GetVarint(in, value); }
 
@@ -135,10 +134,10 @@
 
 bool Get(std::string_view* in, Heartbeat* heartbeat) {
   return Get(in, &heartbeat->seq) && Get(in, &heartbeat->state_age_us) &&
-         Get(in, &heartbeat->epochs) && Get(in, &heartbeat->cancels) &&
-         Get(in, &heartbeat->cancels_from) && Get(in, &heartbeat->seen) &&
-         Get(in, &heartbeat->wanted) && Get(in, &heartbeat->cached_images) &&
-         Get(in, &heartbeat->silent_machines);
+         Get(in, &heartbeat->epochs) && Get(in, &heartbeat->cancelled_jobs) &&
+         Get(in, &heartbeat->cancellations_complete_above) &&
+         Get(in, &heartbeat->replica_revision) && Get(in, &heartbeat->wanted_shards) &&
+         Get(in, &heartbeat->cached_images) && Get(in, &heartbeat->silent_machines);
 }
 
 bool Get(std::string_view* in, RelayedAgentHeartbeat* relay) {
@@ -163,7 +162,7 @@
 bool Get(std::string_view* in, std::vector<Item>* list) {
   uint64_t length = 0;
   if (!GetVarint(in, &length)) return false;
-  // Every item takes at least a byte: a longer list is malformed, and nothing is reserved for it.
+  // Every item takes at least one byte: check before reserving memory.
   if (length > in->size() || length > kMaxItems) return false;
   list->resize(length);
   for (Item& item : *list) {
@@ -172,7 +171,7 @@
   return true;
 }
 
-// The message of type `Payload` whose fields are `fields`.
+// A message of type `Payload` whose fields are `fields`.
 template <typename Payload>
 std::optional<Message> DecodeAs(std::string_view fields) {
   Payload message;
--- a/src/wire/cloud.cc
+++ b/src/wire/cloud.cc
@@ -1,4 +1,4 @@
-// The interface of the cloud: machine types, rentals and returns.
+// Wire format of the cloud: machine types, rentals and returns.
 #include <array>
 #include <cmath>
 #include <cstdint>
@@ -29,13 +29,13 @@
 constexpr const char* kSpotPrice = "spot_price";
 constexpr const char* kBootSeconds = "ready_s";
 constexpr const char* kZones = "rooms";
-// Fields of a request to rent, some of them of a machine too.
+// Fields of a rental request, some of them also of a machine.
 constexpr const char* kRequestId = "hire";
 constexpr const char* kType = "build";
 constexpr const char* kZone = "room";
 constexpr const char* kSpot = "loaners";
 constexpr const char* kCount = "number";
-// Fields of a machine and of the lists of machines.
+// Fields of a machine and of lists of machines.
 constexpr const char* kMachines = "hosts";
 constexpr const char* kMore = "truncated";
 constexpr const char* kMachineName = "name_id";
@@ -43,21 +43,21 @@
 constexpr const char* kState = "status";
 constexpr const char* kAgeSeconds = "age_s";
 
-// Any other word is taken for a machine that runs.
+// Any other word means a running machine.
 constexpr auto kStateWords = std::to_array<EnumWord<ListedMachine::State>>(
     {{ListedMachine::State::kFailed, "failed"}, {ListedMachine::State::kBooting, "booting"}});
 
 constexpr double kThousandthsPerUnit = 1000;
-// Of a machine type that does not tell its own.
+// Defaults for machine types that do not specify it.
 constexpr double kDefaultBootSeconds = 60;
 
-// The list `key` of `doc`; null when there is none.
+// The list `key` of `doc`, or null.
 const Json* FindList(const std::optional<Json>& doc, const char* key) {
   const Json* list = doc ? Find(*doc, key) : nullptr;
   return list != nullptr && list->is_array() ? list : nullptr;
 }
 
-// The field in thousandths; 0 when it is missing.
+// The field in thousandths; 0 if it is missing.
 int64_t Thousandths(const Json& map, const char* key) {
   return std::llround(Number(map, key).value_or(0) * kThousandthsPerUnit);
 }
@@ -125,7 +125,7 @@
 }
 
 std::string EncodeRent(const RentRequest& request) {
-  return Pack(Json{{kRequestId, request.request},
+  return Pack(Json{{kRequestId, request.id},
                    {kType, request.type},
                    {kZone, request.zone},
                    {kSpot, request.spot},
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,6 +1,5 @@
-// Converts between the bodies and paths of the published interfaces and the plain
-// structs of types.h. Decoders never throw: they return nothing, or a typed error, for
-// a body that is malformed.
+// Converts between wire formats and the structs of types.h. Decoders never throw: they return
+// nothing or a typed error for a malformed body.
 #ifndef TROUTLINK_WIRE_MESSAGES_H_
 #define TROUTLINK_WIRE_MESSAGES_H_
 
@@ -15,7 +14,7 @@
 
 namespace troutlink::wire {
 
-// Paths and ends of paths of the interfaces.
+// Paths and path suffixes.
 inline constexpr std::string_view kJobsPath = "/api/jobs";
 inline constexpr std::string_view kAbortEnd = "/abort";
 inline constexpr std::string_view kUpPath = "/up";
@@ -25,99 +24,100 @@
 
 // --- users -----------------------------------------------------------------
 
-// Why a submission is refused.
+// Reason for refusing a submission.
 enum class SubmissionFault {
-  kNotAMap,   // not one MessagePack map keyed by text
-  kBadField,  // a field is missing or out of its range
+  kNotAMap,   // not a MessagePack map with string keys
+  kBadField,  // a field is missing or invalid
 };
 // A job, or why it is refused.
 using SpecResult = Result<JobSpec, SubmissionFault>;
-// The job in the body of a submission.
+// Decodes the body of a submission.
 SpecResult DecodeSubmission(std::string_view body);
-// The body of a submission.
+// Encodes the body of a submission.
 std::string EncodeSubmission(const JobSpec& spec);
-// The job in a part of another document.
+// Decodes a job that is part of another document.
 SpecResult DecodeSpec(const Json& map);
-// A job as a part of another document.
+// Encodes a job as part of another document.
 Json EncodeSpec(const JobSpec& spec);
-// The answer to a submission and to an abort.
+// Encodes the answer to a submission or abort.
 std::string EncodeJobState(std::string_view id, JobPhase state);
-// The answer to a poll.
+// Encodes the answer to a poll.
 std::string EncodeJobStatus(const JobStatus& status);
-// Of either answer; counts that are missing are 0, and an unknown state is malformed.
+// Decodes either answer. Missing counts are 0; an unknown state is malformed.
 std::optional<JobStatus> DecodeJobStatus(std::string_view body);
-// The body of a refusal; `why` is one line for the user.
+// Encodes the body of a refusal; `why` is one line for the user.
 std::string EncodeError(std::string_view why);
-// What `/api/jobs/{id}` or `/api/jobs/{id}/abort` names.
+// Job and action in `/api/jobs/{id}` or `/api/jobs/{id}/abort`.
 struct JobPath {
   std::string id;
   bool abort = false;
 };
-// Nothing when `target` is neither path. The id is not checked.
+// Nothing if `target` is neither path. Does not check the id.
 std::optional<JobPath> ParseJobPath(std::string_view target);
 
-// --- workers ---------------------------------------------------------------
+// --- agents ----------------------------------------------------------------
 
-// The body of a worker's report. One that can be read only in part is malformed.
+// Decodes the body of an agent's heartbeat. Partly readable bodies are malformed.
 std::optional<AgentHeartbeat> DecodeAgentHeartbeat(std::string_view body);
-// The body of a worker's report.
-std::string EncodeAgentHeartbeat(const AgentHeartbeat& report);
-// The answer to a report: the fencing token and commands for the worker.
+// Encodes the body of an agent's heartbeat.
+std::string EncodeAgentHeartbeat(const AgentHeartbeat& heartbeat);
+// Encodes the reply to a heartbeat: the fencing token and commands.
 std::string EncodeHeartbeatReply(uint64_t token, const std::vector<Command>& commands);
-// Commands sent to a worker outside of an answer; `session` is the worker's.
-std::string EncodeCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands);
-// The answer that sends a worker to the controller `label`; empty: to any.
+// Encodes commands sent directly to an agent; `incarnation` is the agent's.
+std::string EncodeCommands(uint64_t token, uint64_t incarnation,
+                           const std::vector<Command>& commands);
+// Encodes a redirect of an agent to the controller `label`; empty: to any.
 std::string EncodeRedirect(std::string_view label);
 
 // --- cloud -----------------------------------------------------------------
 
 // Path of the list of machine types.
 std::string MachineTypesTarget();
-// Path that rents machines.
+// Path to rent machines.
 std::string RentTarget();
-// Path that returns machines.
+// Path to return machines.
 std::string ReturnTarget();
-// Path of a page of the rented machines, from after the machine `after`.
+// Path of a page of rented machines, starting after the machine `after`.
 std::string MachinesTarget(std::string_view after, int limit);
-// Machine types; entries without a name are left out.
+// Decodes machine types; entries without a name are dropped.
 std::optional<std::vector<MachineType>> DecodeMachineTypes(std::string_view body);
-// The body of a request to rent.
+// Encodes a rental request.
 std::string EncodeRent(const RentRequest& request);
-// Names of the machines that were rented.
+// Decodes the names of rented machines.
 std::optional<std::vector<std::string>> DecodeRented(std::string_view body);
-// The body of a request to return machines.
+// Encodes a request to return machines.
 std::string EncodeReturn(const std::vector<std::string>& machines);
-// A page of the rented machines; `more`: the list goes on.
+// A page of rented machines; `more`: the list continues.
 struct MachinePage {
   std::vector<ListedMachine> machines;
   bool more = false;
 };
-// Entries without a name are left out.
+// Entries without a name are dropped.
 std::optional<MachinePage> DecodeMachines(std::string_view body);
 
-// --- state service ---------------------------------------------------------
+// --- key-value store --------------------------------------------------------
 
-// Path of a page of the keys under `prefix`, from after the key `after`.
+// Path of a page of the keys under `prefix`, starting after the key `after`.
 std::string ListTarget(std::string_view prefix, std::string_view after, int limit);
-// Path that waits up to `wait` for changes under `prefix` later than revision `after`.
+// Path of a watch that waits up to `wait` for changes under `prefix` after revision `after`.
 std::string WatchTarget(std::string_view prefix, uint64_t after, Micros wait);
-// Path that commits a transaction.
+// Path to commit a transaction.
 std::string CommitTarget();
-// Path that grants a lease.
+// Path to grant a lease.
 std::string GrantTarget();
-// Path that renews a lease.
+// Path to renew a lease.
 std::string RenewTarget(uint64_t lease);
-// A page of keys as of `revision`; `more`: the list goes on.
+// A page of keys as of `revision`; `more`: the list continues.
 struct StatePage {
   std::vector<StateItem> items;
   bool more = false;
   uint64_t revision = 0;
 };
-// A page that can be read only in part is malformed.
+// Decodes a page; partly readable pages are malformed.
 std::optional<StatePage> DecodeList(std::string_view body);
-// The body of a commit.
+// Encodes a transaction.
 std::string EncodeTxn(const StateTxn& txn);
-// The answer to a commit: the keys whose conditions failed, none when it is committed.
+// Answer to a transaction: the keys whose conditions failed; none if it is committed.
 struct TxnReply {
   uint64_t revision = 0;
   std::vector<std::string> failed;
@@ -129,11 +129,11 @@
   uint64_t revision = 0;
   std::vector<StateEvent> events;
 };
-// A list of changes that can be read only in part is malformed.
+// Decodes changes; partly readable lists are malformed.
 std::optional<WatchReply> DecodeWatch(std::string_view body);
-// The body of a request for a lease that lives for `life` after each renewal.
-std::string EncodeGrant(Micros life);
-// The id of the lease that was granted.
+// Encodes a request for a lease that lives for `ttl` after each renewal.
+std::string EncodeGrant(Micros ttl);
+// Decodes the id of a granted lease.
 std::optional<uint64_t> DecodeGrant(std::string_view body);
 
 }  // namespace troutlink::wire
--- a/src/wire/state.cc
+++ b/src/wire/state.cc
@@ -1,4 +1,4 @@
-// The interface of the state service: keys, transactions, changes and leases.
+// Wire format of the key-value store: keys, transactions, changes and leases.
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -19,7 +19,7 @@
 constexpr const char* kMore = "truncated";
 constexpr const char* kEvents = "events";
 constexpr const char* kFailed = "failed";
-// Fields of keys, of their changes and of transactions.
+// Fields of keys, changes and transactions.
 constexpr const char* kKey = "key";
 constexpr const char* kVersion = "stamp";
 constexpr const char* kValue = "v";
@@ -31,7 +31,7 @@
 constexpr const char* kLease = "permit";
 constexpr const char* kLifeMillis = "life_ms";
 
-// A value may be null, so a field that is null is there.
+// A value may be null, so a null field counts as present.
 const Json* FindValue(const Json& map) {
   if (!map.is_object()) return nullptr;
   const auto value = map.find(kValue);
@@ -138,7 +138,7 @@
   return reply;
 }
 
-std::string EncodeGrant(Micros life) { return Pack(Json{{kLifeMillis, life / kMillisecond}}); }
+std::string EncodeGrant(Micros ttl) { return Pack(Json{{kLifeMillis, ttl / kMillisecond}}); }
 
 std::optional<uint64_t> DecodeGrant(std::string_view body) {
   const std::optional<Json> doc = Unpack(body);
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -1,6 +1,5 @@
-// Plain structs for everything that users, workers, the cloud and the state service send
-// or receive. The field names and words on the wire appear only in this package's .cc
-// files.
+// Structs for everything exchanged with users, agents, the cloud and the key-value store. The names
+// on the wire appear only in the .cc files of this package.
 #ifndef TROUTLINK_WIRE_TYPES_H_
 #define TROUTLINK_WIRE_TYPES_H_
 
@@ -14,8 +13,8 @@
 
 namespace troutlink {
 
-// Amounts of resources: cpus, gpus and gigabytes of memory, in thousandths so that sums
-// are exact.
+// Amounts of resources in thousandths of CPUs, GPUs and gigabytes of memory, so that sums are
+// exact.
 struct Resources {
   int64_t cpus = 0;
   int64_t gpus = 0;
@@ -29,7 +28,7 @@
     cpus -= other.cpus, gpus -= other.gpus, memory -= other.memory;
     return *this;
   }
-  // Whether no resource exceeds that of `room`.
+  // Whether these resources fit into `room`.
   bool Fits(const Resources& room) const {
     return cpus <= room.cpus && gpus <= room.gpus && memory <= room.memory;
   }
@@ -39,14 +38,14 @@
 inline Resources operator+(Resources left, const Resources& right) { return left += right; }
 inline Resources operator-(Resources left, const Resources& right) { return left -= right; }
 
-// The tasks of an array run independently, those of a service until it is cancelled, and
-// those of a gang only all together (see docs/questions.md).
+// Tasks of an array run independently, those of a service until it is cancelled, and those of a
+// gang only all together (see docs/questions.md).
 enum class JobKind { kArray, kService, kGang };
 // Higher is more important.
 enum class Priority { kLow = 0, kNormal = 1, kHigh = 2, kProduction = 3 };
 inline constexpr size_t kPriorities = 4;
 
-// A job as its user submitted it.
+// A job as submitted by its user.
 struct JobSpec {
   std::string id;
   std::string job_class;
@@ -54,7 +53,7 @@
   JobKind kind = JobKind::kArray;
   Priority priority = Priority::kNormal;
   int tasks = 0;
-  Resources task_resources;  // of one task
+  Resources task_resources;  // per task
   std::string image;
   double image_gb = 0;
   std::vector<std::string> types;  // empty: any
@@ -62,21 +61,21 @@
   bool one_zone = false;
   bool spread = false;
   bool spot = false;
-  Micros estimate = 0;    // expected time of one task
-  Micros checkpoint = 0;  // period of the checkpoints; 0: none
-  Micros save = 0;        // time that saving takes before a stop
+  Micros estimate = 0;    // expected run time of one task
+  Micros checkpoint = 0;  // interval of checkpoints; 0: none
+  Micros save = 0;        // time to write a checkpoint before a stop
   Micros deadline = 0;    // from the submission; 0: none
-  // Jobs that must be done before any task of this one starts; each is named once.
+  // Jobs that must be done before any task of this one starts, without duplicates.
   std::vector<std::string> dependencies;
 };
 
-// What is stored of a job; an open one is neither done nor cancelled.
+// Stored state of a job; an open one is neither done nor cancelled.
 enum class JobState { kOpen, kDone, kCancelled };
 
-// What users are told of a job: an open one is queued until a task runs.
+// State reported to users: an open job is queued until a task runs.
 enum class JobPhase { kQueued, kRunning, kDone, kCancelled };
 
-// What a poll tells of a job: its state and the numbers of its tasks.
+// Answer to a poll.
 struct JobStatus {
   std::string id;
   JobPhase state = JobPhase::kQueued;
@@ -84,14 +83,14 @@
   int64_t running = 0;
 };
 
-// --- workers ---------------------------------------------------------------
+// --- agents ----------------------------------------------------------------
 
-// What a worker does with a task: fetches its image, runs it, saves it, or has ended it.
+// State of a task on an agent.
 enum class TaskState { kFetching, kRunning, kSaving, kExited };
-// Why a task ended; kNone for one that has not.
+// Reason why a task ended; kNone if it has not.
 enum class ExitReason { kNone, kDone, kStopped, kError, kNoRoom, kBusy, kUnknown, kPeers };
 
-// One attempt of a task on the reporting worker.
+// One attempt of a task in an agent's heartbeat.
 struct TaskStatus {
   std::string job;
   int task = 0;
@@ -101,22 +100,22 @@
   bool saved = false;
 };
 
-// A worker's report: its `session`, the number `seq` of the report in it, its fencing
-// token, and the state of its tasks; `notice` when the machine is about to be taken away.
+// An agent's heartbeat: `seq` counts within its `incarnation`, `token` is the highest fencing token
+// it has seen, `notice` is set if the machine is about to be evicted.
 struct AgentHeartbeat {
   std::string machine;
   std::string addr;
   std::string type;
   std::string zone;
   bool spot = false;
-  uint64_t session = 0;
+  uint64_t incarnation = 0;
   uint64_t seq = 0;
   uint64_t token = 0;
   std::optional<Micros> notice;
   std::vector<TaskStatus> tasks;
 };
 
-// An order to a worker about one attempt; `grace` only for kStop.
+// A command for one attempt; `grace` only for kStop.
 struct Command {
   enum class Op { kStart, kStop, kForget };
   Op op = Op::kStart;
@@ -128,7 +127,7 @@
 
 // --- cloud -----------------------------------------------------------------
 
-// A type of machine that the cloud rents out.
+// A machine type offered by the cloud.
 struct MachineType {
   std::string name;
   Resources size;
@@ -140,7 +139,7 @@
   std::vector<std::string> zones;
 };
 
-// A rented machine as the cloud lists it.
+// A rented machine in the cloud's list.
 struct ListedMachine {
   std::string name;
   std::string addr;
@@ -151,25 +150,25 @@
   Micros age = 0;
 };
 
-// A request for `count` machines; `request` is its id.
+// A request for `count` machines, idempotent by `id`.
 struct RentRequest {
-  std::string request;
+  std::string id;
   std::string type;
   std::string zone;
   bool spot = false;
   int count = 0;
 };
 
-// --- state service ---------------------------------------------------------
+// --- key-value store -------------------------------------------------------
 
-// A key of the state service with its value.
+// A key with its value.
 struct StateItem {
   std::string key;
   std::string value;  // MessagePack, as stored
   uint64_t version = 0;
 };
 
-// A key to put, under a lease if there is one, or, with `erase`, to delete.
+// A key to put, under a lease if there is one, or to delete if `erase`.
 struct StateWrite {
   std::string key;
   std::string value;   // MessagePack; ignored for deletes
@@ -177,19 +176,19 @@
   bool erase = false;
 };
 
-// Holds while the key has this version; version 0: while there is no such key.
+// Holds while the key has this version; version 0: while it does not exist.
 struct StateCondition {
   std::string key;
   uint64_t version = 0;
 };
 
-// Writes that happen together, if all conditions hold, or not at all.
+// Writes that are applied together if all conditions hold, or not at all.
 struct StateTxn {
   std::vector<StateCondition> conditions;
   std::vector<StateWrite> writes;
 };
 
-// A change of a key: put or, with `erase`, deleted.
+// A change of a key: put, or deleted if `erase`.
 struct StateEvent {
   std::string key;
   std::string value;
--- a/src/wire/worker.cc
+++ b/src/wire/worker.cc
@@ -1,4 +1,4 @@
-// The interface for workers: reports, commands and redirects.
+// Wire format for agents: heartbeats, commands and redirects.
 #include <array>
 #include <charconv>
 #include <cstddef>
@@ -19,18 +19,18 @@
 namespace troutlink::wire {
 namespace {
 
-// Fields of a report, some of them in answers and commands too.
+// Fields of a heartbeat, some of them also in answers and commands.
 constexpr const char* kMachine = "host";
 constexpr const char* kAddress = "address";
 constexpr const char* kMachineType = "build";
 constexpr const char* kZone = "room";
 constexpr const char* kSpot = "loaners";
-constexpr const char* kSession = "shift";
+constexpr const char* kIncarnation = "shift";
 constexpr const char* kSequence = "tally";
 constexpr const char* kToken = "baton";
 constexpr const char* kNoticeSeconds = "warning_s";
 constexpr const char* kTasks = "pieces";
-// Fields of a task in a report and of a command.
+// Fields of a task in a heartbeat and of a command.
 constexpr const char* kTask = "piece";
 constexpr const char* kAttempt = "try";
 constexpr const char* kState = "status";
@@ -56,14 +56,14 @@
                                          {ExitReason::kNoRoom, "no_room"},
                                          {ExitReason::kBusy, "in_use"},
                                          {ExitReason::kUnknown, "no_such"},
-                                         // Of gangs: a peer left, or the peers did not come in
-                                         // time.
+                                         // For gangs: a peer has left, or the peers did not arrive
+                                         // in time.
                                          {ExitReason::kPeers, "mates_gone"},
                                          {ExitReason::kPeers, "alone"}});
 constexpr auto kOperationWords = std::to_array<EnumWord<Command::Op>>(
     {{Command::Op::kStart, "start"}, {Command::Op::kStop, "stop"}, {Command::Op::kForget, "reap"}});
 
-// A task is named `job/number`.
+// Name of a task: `job/number`.
 struct TaskName {
   std::string job;
   int number = 0;
@@ -84,7 +84,7 @@
   return name;
 }
 
-// Nothing for an element that can be read only in part.
+// Nothing for a partly readable element.
 std::optional<TaskStatus> DecodeTaskReport(const Json& item) {
   const std::optional<TaskName> name = ParseTaskName(Text(item, kTask).value_or(""));
   const std::optional<uint64_t> attempt = Count(item, kAttempt);
@@ -99,7 +99,7 @@
   if (task.state == TaskState::kExited) {
     std::optional<std::string> reason = Text(item, kExitReason);
     if (!reason) reason = Text(item, kExitReasonAlternative);
-    // Reasons that we do not know count as errors.
+    // Unknown reasons count as errors.
     task.why = ParseWord(kExitReasonWords, reason.value_or("")).value_or(ExitReason::kError);
   }
   task.saved = Flag(item, kSaved).value_or(false);
@@ -134,40 +134,42 @@
   if (!doc) return std::nullopt;
   const Json& map = *doc;
   const std::optional<std::string> machine = Text(map, kMachine);
-  const std::optional<uint64_t> session = Count(map, kSession);
+  const std::optional<uint64_t> incarnation = Count(map, kIncarnation);
   const std::optional<uint64_t> sequence = Count(map, kSequence);
-  if (!machine || machine->empty() || !session || !sequence) return std::nullopt;
-  AgentHeartbeat report;
-  report.machine = *machine;
-  report.addr = Text(map, kAddress).value_or("");
-  report.type = Text(map, kMachineType).value_or("");
-  report.zone = Text(map, kZone).value_or("");
-  report.spot = Flag(map, kSpot).value_or(false);
-  report.session = *session;
-  report.seq = *sequence;
-  report.token = Count(map, kToken).value_or(0);
+  if (!machine || machine->empty() || !incarnation || !sequence) return std::nullopt;
+  AgentHeartbeat heartbeat;
+  heartbeat.machine = *machine;
+  heartbeat.addr = Text(map, kAddress).value_or("");
+  heartbeat.type = Text(map, kMachineType).value_or("");
+  heartbeat.zone = Text(map, kZone).value_or("");
+  heartbeat.spot = Flag(map, kSpot).value_or(false);
+  heartbeat.incarnation = *incarnation;
+  heartbeat.seq = *sequence;
+  heartbeat.token = Count(map, kToken).value_or(0);
   if (const std::optional<double> notice = Number(map, kNoticeSeconds)) {
-    report.notice = FromSeconds(*notice);
+    heartbeat.notice = FromSeconds(*notice);
   }
   const Json* tasks = Find(map, kTasks);
-  if (tasks == nullptr) return report;
+  if (tasks == nullptr) return heartbeat;
   if (!tasks->is_array()) return std::nullopt;
   for (const Json& item : *tasks) {
     std::optional<TaskStatus> task = DecodeTaskReport(item);
-    // A report that we can read only in part must not prove an absence.
+    // A partly readable heartbeat must not prove an absence.
     if (!task) return std::nullopt;
-    report.tasks.push_back(*std::move(task));
+    heartbeat.tasks.push_back(*std::move(task));
   }
-  return report;
+  return heartbeat;
 }
 
-std::string EncodeAgentHeartbeat(const AgentHeartbeat& report) {
+std::string EncodeAgentHeartbeat(const AgentHeartbeat& heartbeat) {
   Json tasks = Json::array();
-  for (const TaskStatus& task : report.tasks) tasks.push_back(EncodeTaskReport(task));
-  Json map = {{kMachine, report.machine}, {kAddress, report.addr}, {kMachineType, report.type},
-              {kZone, report.zone},       {kSpot, report.spot},    {kSession, report.session},
-              {kSequence, report.seq},    {kToken, report.token},  {kTasks, std::move(tasks)}};
-  if (report.notice) map[kNoticeSeconds] = ToSeconds(*report.notice);
+  for (const TaskStatus& task : heartbeat.tasks) tasks.push_back(EncodeTaskReport(task));
+  Json map = {{kMachine, heartbeat.machine},  {kAddress, heartbeat.addr},
+              {kMachineType, heartbeat.type}, {kZone, heartbeat.zone},
+              {kSpot, heartbeat.spot},        {kIncarnation, heartbeat.incarnation},
+              {kSequence, heartbeat.seq},     {kToken, heartbeat.token},
+              {kTasks, std::move(tasks)}};
+  if (heartbeat.notice) map[kNoticeSeconds] = ToSeconds(*heartbeat.notice);
   return Pack(map);
 }
 
@@ -175,8 +177,10 @@
   return Pack(Json{{kToken, token}, {kCommands, EncodeCommandList(commands)}});
 }
 
-std::string EncodeCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands) {
-  return Pack(Json{{kToken, token}, {kSession, session}, {kCommands, EncodeCommandList(commands)}});
+std::string EncodeCommands(uint64_t token, uint64_t incarnation,
+                           const std::vector<Command>& commands) {
+  return Pack(
+      Json{{kToken, token}, {kIncarnation, incarnation}, {kCommands, EncodeCommandList(commands)}});
 }
 
 std::string EncodeRedirect(std::string_view label) {
--- a/tests/api_fakes.h
+++ b/tests/api_fakes.h
@@ -83,7 +83,7 @@
   void NoteStateAnswer(Micros now) override { state_answered = now; }
   const StateLimits& Limits() const override { return limits; }
   bool AllNodesCurrent() const override { return all_current; }
-  std::string FreshPeer(Micros /*now*/) const override { return fresh_peer; }
+  std::string MostRecentPeer(Micros /*now*/) const override { return fresh_peer; }
   const std::vector<MachineType>& MachineTypes() const override { return types; }
   Micros WallNow(Micros now) const override { return now; }
 
@@ -102,7 +102,7 @@
   void LearnCancellation(Micros /*now*/, const std::string& job_id) override {
     learnt.push_back(job_id);
   }
-  void HastenHeartbeat(Micros /*now*/) override { ++hastened; }
+  void RequestHeartbeat(Micros /*now*/) override { ++hastened; }
 
   std::vector<std::string> learnt;
   int hastened = 0;
--- a/tests/api_submissions_units_test.cc
+++ b/tests/api_submissions_units_test.cc
@@ -239,7 +239,7 @@
   EXPECT_EQ(capacities[0].suitable_machines, 1);
   EXPECT_EQ(capacities[1].placeable_tasks, 2);
   EXPECT_DOUBLE_EQ(capacities[1].available_cpus, 16000);
-  EXPECT_EQ(s.selector.Choose(Job("job-1")), 1);
+  EXPECT_EQ(s.selector.SelectFor(Job("job-1")), 1);
 }
 
 TEST(ShardSelector, WhatWaitsAlreadyComesFirst) {
@@ -248,7 +248,7 @@
   s.AddMachine(1, "b");
   s.loads.waiting = {{0, Job("job-8"), 4}};
   EXPECT_DOUBLE_EQ(s.selector.CapacitiesFor(Job("job-1"))[0].available_cpus, 0);
-  EXPECT_EQ(s.selector.Choose(Job("job-1")), 1);
+  EXPECT_EQ(s.selector.SelectFor(Job("job-1")), 1);
 }
 
 TEST(ShardSelector, CriticalWorkCountsWhatItMayPushAside) {
@@ -267,16 +267,16 @@
   const JobSpec service = Job("job-1", JobKind::kService);
   s.loads.caches = {{"b", "img"}};
   EXPECT_EQ(s.selector.CapacitiesFor(service)[1].ready_tasks, 2);
-  EXPECT_EQ(s.selector.Choose(service), 1);
+  EXPECT_EQ(s.selector.SelectFor(service), 1);
   s.loads.caches = {{"a", "img"}};
-  EXPECT_EQ(s.selector.Choose(service), 0);
+  EXPECT_EQ(s.selector.SelectFor(service), 0);
 }
 
 TEST(ShardSelector, AShardWithoutALeaderIsTheLastChoice) {
   Shards s(2);
   s.AddMachine(0, "a");
   s.loads.leaderless = {0};
-  EXPECT_EQ(s.selector.Choose(Job("job-1")), 1);
+  EXPECT_EQ(s.selector.SelectFor(Job("job-1")), 1);
 }
 
 }  // namespace
--- a/tests/api_units_test.cc
+++ b/tests/api_units_test.cc
@@ -85,7 +85,7 @@
   Records r;
   r.store.Write(kNow, "job-1", 0, EncodeJob({}), [](Micros, const CommitOutcome&) {});
   r.StateAnswers(kNow, 429, "");
-  EXPECT_LE(r.write_budget.have(), 0);
+  EXPECT_LE(r.write_budget.tokens(), 0);
   EXPECT_EQ(r.status.state_answered, 0);
 }
 
@@ -119,7 +119,7 @@
 
 TEST(RequestForwarder, ARequestThatWaitsIsForwardedOnce) {
   Forwarding f;
-  f.forwarder.Open(kNow, f.poll, false);
+  f.forwarder.Register(kNow, f.poll, false);
   f.forwarder.Tick(kNow + 100 * kMillisecond);
   EXPECT_THAT(f.effects.TakeOutbox().peers, IsEmpty());
   EXPECT_FALSE(f.forwarder.MayHaveCopy(1));
@@ -135,7 +135,7 @@
 
 TEST(RequestForwarder, TheFirstGoodAnswerCounts) {
   Forwarding f;
-  f.forwarder.Open(kNow, f.poll, true);
+  f.forwarder.Register(kNow, f.poll, true);
   const uint64_t id = f.Sent().id;
   f.forwarder.Answer(1, 503, "own", 1);
   EXPECT_THAT(f.Replies(), IsEmpty());  // the peer is still at work on it
@@ -147,7 +147,7 @@
 
 TEST(RequestForwarder, WhenBothRefuseOurOwnRefusalIsTold) {
   Forwarding f;
-  f.forwarder.Open(kNow, f.poll, true);
+  f.forwarder.Register(kNow, f.poll, true);
   const uint64_t id = f.Sent().id;
   f.forwarder.Answer(1, 429, "own", 3);
   f.forwarder.HandleReply(kNow, {id, 503, 1, "peer's"});
@@ -157,7 +157,7 @@
 
 TEST(RequestForwarder, ACancellationIsNotAnsweredUnknownWhileAPeerHasACopy) {
   Forwarding f;
-  f.forwarder.Open(kNow, f.cancel, true);
+  f.forwarder.Register(kNow, f.cancel, true);
   f.Sent();
   f.forwarder.Answer(2, 404, "no such job");
   EXPECT_THAT(f.Replies(), IsEmpty());
@@ -167,7 +167,7 @@
 
 TEST(RequestForwarder, ACancellationThatAPeerTellsIsLearnt) {
   Forwarding f;
-  f.forwarder.Open(kNow, f.cancel, true);
+  f.forwarder.Register(kNow, f.cancel, true);
   const uint64_t id = f.Sent().id;
   f.forwarder.HandleReply(kNow, {id, 200, 0, wire::EncodeJobState("job-1", JobPhase::kCancelled)});
   EXPECT_THAT(f.cancellations.learnt, ElementsAre("job-1"));
@@ -176,7 +176,7 @@
 TEST(RequestForwarder, ARequestThatNobodyAnswersEnds) {
   Forwarding f;
   f.status.fresh_peer.clear();
-  f.forwarder.Open(kNow, f.poll, true);
+  f.forwarder.Register(kNow, f.poll, true);
   f.forwarder.Tick(kNow + 10 * kSecond);
   EXPECT_THAT(f.Replies(), IsEmpty());
   f.forwarder.Tick(kNow + 10 * kSecond + 1);
@@ -188,10 +188,10 @@
   f.status.all_current = false;
   JobSpec spec = Job("job-2");
   spec.dependencies = {"job-1"};
-  f.forwarder.Open(kNow, {3, "POST", "/api/jobs", wire::EncodeSubmission(spec)}, true);
+  f.forwarder.Register(kNow, {3, "POST", "/api/jobs", wire::EncodeSubmission(spec)}, true);
   EXPECT_THAT(f.effects.TakeOutbox().peers, IsEmpty());
-  EXPECT_EQ(f.counters.kept_from_forwarding, 1u);
-  f.forwarder.Open(kNow, {4, "POST", "/api/jobs", wire::EncodeSubmission(Job("job-3"))}, true);
+  EXPECT_EQ(f.counters.not_forwarded, 1u);
+  f.forwarder.Register(kNow, {4, "POST", "/api/jobs", wire::EncodeSubmission(Job("job-3"))}, true);
   EXPECT_THAT(f.effects.TakeOutbox().peers, SizeIs(1));
 }
 
