--- a/tests/cancellations_units_test.cc
+++ b/tests/cancellations_units_test.cc
@@ -14,17 +14,18 @@
 constexpr Micros kCancel = 30 * kSecond;
 constexpr Micros kLease = 10 * kSecond;
 
-mesh::Heartbeat Filled(const CancellationLog& log, uint64_t seen) {
+mesh::Heartbeat Filled(const CancellationLog& log, uint64_t replica_revision) {
   mesh::Heartbeat heartbeat;
-  log.FillHeartbeat(seen, &heartbeat);
+  log.FillHeartbeat(replica_revision, &heartbeat);
   return heartbeat;
 }
 
-mesh::Heartbeat PongTo(uint64_t ping, uint64_t seen, uint64_t cancels_from = 0) {
+mesh::Heartbeat PongTo(uint64_t ping, uint64_t replica_revision,
+                       uint64_t cancellations_complete_above = 0) {
   mesh::Heartbeat pong;
   pong.seq = ping;
-  pong.seen = seen;
-  pong.cancels_from = cancels_from;
+  pong.replica_revision = replica_revision;
+  pong.cancellations_complete_above = cancellations_complete_above;
   return pong;
 }
 
@@ -33,11 +34,11 @@
   log.AddCommitted(5, "a");
   log.AddCommitted(9, "c");
   log.AddCommitted(7, "b");
-  EXPECT_EQ(Filled(log, 0).cancels, (std::vector<std::string>{"a", "b", "c"}));
-  EXPECT_EQ(Filled(log, 5).cancels, (std::vector<std::string>{"b", "c"}));
-  EXPECT_EQ(Filled(log, 8).cancels, (std::vector<std::string>{"c"}));
-  EXPECT_TRUE(Filled(log, 9).cancels.empty());
-  EXPECT_EQ(Filled(log, 0).cancels_from, 0u);
+  EXPECT_EQ(Filled(log, 0).cancelled_jobs, (std::vector<std::string>{"a", "b", "c"}));
+  EXPECT_EQ(Filled(log, 5).cancelled_jobs, (std::vector<std::string>{"b", "c"}));
+  EXPECT_EQ(Filled(log, 8).cancelled_jobs, (std::vector<std::string>{"c"}));
+  EXPECT_TRUE(Filled(log, 9).cancelled_jobs.empty());
+  EXPECT_EQ(Filled(log, 0).cancellations_complete_above, 0u);
 }
 
 TEST(CancellationLog, IsBoundedAndSaysFromWhereItIsComplete) {
@@ -46,32 +47,32 @@
   for (uint64_t revision = 1; revision <= most; ++revision) {
     log.AddCommitted(revision, "job" + std::to_string(revision));
   }
-  EXPECT_EQ(Filled(log, 0).cancels.size(), most);
-  EXPECT_EQ(Filled(log, 0).cancels_from, 0u);
+  EXPECT_EQ(Filled(log, 0).cancelled_jobs.size(), most);
+  EXPECT_EQ(Filled(log, 0).cancellations_complete_above, 0u);
   log.AddCommitted(most + 1, "x");
   log.AddCommitted(most + 2, "y");
   const mesh::Heartbeat heartbeat = Filled(log, 0);
-  EXPECT_EQ(heartbeat.cancels.size(), most);
-  EXPECT_EQ(heartbeat.cancels.front(), "job3");
-  EXPECT_EQ(heartbeat.cancels.back(), "y");
-  EXPECT_EQ(heartbeat.cancels_from, 2u);  // 1 and 2 were dropped
+  EXPECT_EQ(heartbeat.cancelled_jobs.size(), most);
+  EXPECT_EQ(heartbeat.cancelled_jobs.front(), "job3");
+  EXPECT_EQ(heartbeat.cancelled_jobs.back(), "y");
+  EXPECT_EQ(heartbeat.cancellations_complete_above, 2u);  // 1 and 2 were dropped
   // One that comes late and below the bound is dropped at once, and the bound stays.
   log.AddCommitted(1, "job1");
-  EXPECT_EQ(Filled(log, 0).cancels.front(), "job3");
-  EXPECT_EQ(Filled(log, 0).cancels_from, 2u);
+  EXPECT_EQ(Filled(log, 0).cancelled_jobs.front(), "job3");
+  EXPECT_EQ(Filled(log, 0).cancellations_complete_above, 2u);
 }
 
 TEST(CancellationLog, KeepsReportedCancelsUntilTheReplicaHasThem) {
   CancellationLog log(kCancel, kLease);
-  EXPECT_FALSE(log.Reported("a"));
+  EXPECT_FALSE(log.IsReported("a"));
   EXPECT_TRUE(log.AddReported("a"));
   EXPECT_FALSE(log.AddReported("a"));
-  EXPECT_TRUE(log.Reported("a"));
+  EXPECT_TRUE(log.IsReported("a"));
   // A peer's revision does not matter: nobody knows where it was committed.
-  EXPECT_EQ(Filled(log, 1000).cancels, (std::vector<std::string>{"a"}));
+  EXPECT_EQ(Filled(log, 1000).cancelled_jobs, (std::vector<std::string>{"a"}));
   log.ForgetReported("a");
-  EXPECT_FALSE(log.Reported("a"));
-  EXPECT_TRUE(Filled(log, 0).cancels.empty());
+  EXPECT_FALSE(log.IsReported("a"));
+  EXPECT_TRUE(Filled(log, 0).cancelled_jobs.empty());
 }
 
 TEST(CancellationLog, LeavesOutReportedCancelsOfAFullMessageOnly) {
@@ -81,10 +82,10 @@
   }
   log.AddReported("a");
   log.AddReported("b");
-  EXPECT_EQ(Filled(log, 0).cancels.size(), CancellationLog::kMaxInMessage);
-  EXPECT_EQ(Filled(log, 0).cancels.back(), "a");
-  EXPECT_EQ(Filled(log, 1).cancels.size(), CancellationLog::kMaxInMessage);
-  EXPECT_EQ(Filled(log, 1).cancels.back(), "b");
+  EXPECT_EQ(Filled(log, 0).cancelled_jobs.size(), CancellationLog::kMaxInMessage);
+  EXPECT_EQ(Filled(log, 0).cancelled_jobs.back(), "a");
+  EXPECT_EQ(Filled(log, 1).cancelled_jobs.size(), CancellationLog::kMaxInMessage);
+  EXPECT_EQ(Filled(log, 1).cancelled_jobs.back(), "b");
 }
 
 TEST(CancellationLog, RenewsNothingBeforeTheFirstRead) {
@@ -177,14 +178,14 @@
   SessionLease lease(kLife);
   EXPECT_FALSE(lease.held());
   EXPECT_TRUE(lease.CallDue(kSecond));
-  lease.CallSent();
+  lease.OnCallSent();
   EXPECT_FALSE(lease.CallDue(kSecond));  // one call at a time
   EXPECT_FALSE(lease.CallDue(60 * kSecond));
   lease.GrantAnswered(2 * kSecond, std::nullopt);
   EXPECT_FALSE(lease.held());
   EXPECT_FALSE(lease.CallDue(2 * kSecond + 200 * kMillisecond - 1));
   EXPECT_TRUE(lease.CallDue(2 * kSecond + 200 * kMillisecond));
-  lease.CallSent();
+  lease.OnCallSent();
   lease.GrantAnswered(3 * kSecond, 77);
   EXPECT_TRUE(lease.held());
   EXPECT_EQ(lease.id(), 77u);
@@ -194,16 +195,16 @@
 
 TEST(SessionLease, IsRenewedAndRetriedAfterAFailure) {
   SessionLease lease(kLife);
-  lease.CallSent();
+  lease.OnCallSent();
   lease.GrantAnswered(kSecond, 77);
-  lease.CallSent();
-  EXPECT_EQ(lease.RenewAnswered(3 * kSecond, 77, Answer::kRenewed),
+  lease.OnCallSent();
+  EXPECT_EQ(lease.RenewalAnswered(3 * kSecond, 77, Answer::kRenewed),
             SessionLease::Renewal::kRenewed);
   EXPECT_FALSE(lease.CallDue(4 * kSecond - 1));
   EXPECT_TRUE(lease.CallDue(4 * kSecond));
   for (int i = 0; i < 5; ++i) {
-    lease.CallSent();
-    EXPECT_EQ(lease.RenewAnswered(5 * kSecond, 77, Answer::kUnknown),
+    lease.OnCallSent();
+    EXPECT_EQ(lease.RenewalAnswered(5 * kSecond, 77, Answer::kUnknown),
               SessionLease::Renewal::kFailed);
     EXPECT_TRUE(lease.held());  // nobody said that it ended
     EXPECT_FALSE(lease.CallDue(5 * kSecond + 250 * kMillisecond - 1));
@@ -213,10 +214,10 @@
 
 TEST(SessionLease, EndsWhenTheStateServiceDoesNotKnowIt) {
   SessionLease lease(kLife);
-  lease.CallSent();
+  lease.OnCallSent();
   lease.GrantAnswered(kSecond, 77);
-  lease.CallSent();
-  EXPECT_EQ(lease.RenewAnswered(6 * kSecond, 77, Answer::kNoSuchLease),
+  lease.OnCallSent();
+  EXPECT_EQ(lease.RenewalAnswered(6 * kSecond, 77, Answer::kNoSuchLease),
             SessionLease::Renewal::kEnded);
   EXPECT_FALSE(lease.held());
   EXPECT_TRUE(lease.CallDue(6 * kSecond));  // a new one is asked for at once
@@ -224,12 +225,12 @@
 
 TEST(SessionLease, TakesNoAnswerOfADroppedLease) {
   SessionLease lease(kLife);
-  lease.CallSent();
+  lease.OnCallSent();
   lease.GrantAnswered(kSecond, 77);
-  lease.CallSent();
+  lease.OnCallSent();
   lease.Drop();
   EXPECT_FALSE(lease.held());
-  EXPECT_EQ(lease.RenewAnswered(3 * kSecond, 77, Answer::kNoSuchLease),
+  EXPECT_EQ(lease.RenewalAnswered(3 * kSecond, 77, Answer::kNoSuchLease),
             SessionLease::Renewal::kOutdated);
   EXPECT_EQ(lease.id(), 0u);
   EXPECT_TRUE(lease.CallDue(3 * kSecond));
@@ -250,9 +251,9 @@
 TEST(ReplicaFeed, ListsFirstAndThenWatches) {
   ReplicaFeed feed;
   EXPECT_FALSE(feed.synced());
-  EXPECT_EQ(feed.Due(kSecond), Step::kList);
+  EXPECT_EQ(feed.NextStep(kSecond), Step::kList);
   feed.ListStarted(kSecond);
-  EXPECT_EQ(feed.Due(60 * kSecond), Step::kWait);  // one call at a time
+  EXPECT_EQ(feed.NextStep(60 * kSecond), Step::kWait);  // one call at a time
   feed.ListPageRead(5);
   feed.ListPageRead(9);  // what changed since the first page comes by the watch
   EXPECT_EQ(feed.list_revision(), 5u);
@@ -262,9 +263,9 @@
   EXPECT_TRUE(feed.synced());
   EXPECT_EQ(feed.revision(), 5u);
   EXPECT_EQ(feed.complete_up_to(), kSecond);  // when it was sent
-  EXPECT_EQ(feed.Due(2 * kSecond), Step::kWatch);
+  EXPECT_EQ(feed.NextStep(2 * kSecond), Step::kWatch);
   feed.WatchStarted();
-  EXPECT_EQ(feed.Due(60 * kSecond), Step::kWait);
+  EXPECT_EQ(feed.NextStep(60 * kSecond), Step::kWait);
 }
 
 TEST(ReplicaFeed, TheWatchOfAnEmptyStoreBeginsBeforeItsFirstChange) {
@@ -282,9 +283,9 @@
   ReplicaFeed feed = Watching();
   feed.RequestList();
   EXPECT_TRUE(feed.synced());
-  EXPECT_EQ(feed.Due(3 * kSecond), Step::kWait);  // one call at a time
+  EXPECT_EQ(feed.NextStep(3 * kSecond), Step::kWait);  // one call at a time
   feed.WatchAnswered(3 * kSecond, 2 * kSecond, 8);
-  EXPECT_EQ(feed.Due(3 * kSecond), Step::kList);
+  EXPECT_EQ(feed.NextStep(3 * kSecond), Step::kList);
   feed.ListStarted(3 * kSecond);
   EXPECT_TRUE(feed.synced());
   EXPECT_FALSE(feed.list_requested());
@@ -297,8 +298,8 @@
   feed.ListFailed(2 * kSecond);
   EXPECT_FALSE(feed.synced());
   EXPECT_EQ(feed.complete_up_to(), 0);
-  EXPECT_EQ(feed.Due(2 * kSecond + 300 * kMillisecond - 1), Step::kWait);
-  EXPECT_EQ(feed.Due(2 * kSecond + 300 * kMillisecond), Step::kList);
+  EXPECT_EQ(feed.NextStep(2 * kSecond + 300 * kMillisecond - 1), Step::kWait);
+  EXPECT_EQ(feed.NextStep(2 * kSecond + 300 * kMillisecond), Step::kList);
   feed.ListStarted(3 * kSecond);
   EXPECT_EQ(feed.list_revision(), 0u);  // begins anew
 }
@@ -308,10 +309,10 @@
   feed.WatchAnswered(5 * kSecond, 3 * kSecond, 8);
   EXPECT_EQ(feed.revision(), 8u);
   EXPECT_EQ(feed.complete_up_to(), 3 * kSecond);
-  EXPECT_EQ(feed.Due(5 * kSecond), Step::kWatch);
-  feed.PauseWatch(5 * kSecond);
-  EXPECT_EQ(feed.Due(5 * kSecond + 40 * kMillisecond - 1), Step::kWait);
-  EXPECT_EQ(feed.Due(5 * kSecond + 40 * kMillisecond), Step::kWatch);
+  EXPECT_EQ(feed.NextStep(5 * kSecond), Step::kWatch);
+  feed.DelayWatch(5 * kSecond);
+  EXPECT_EQ(feed.NextStep(5 * kSecond + 40 * kMillisecond - 1), Step::kWait);
+  EXPECT_EQ(feed.NextStep(5 * kSecond + 40 * kMillisecond), Step::kWatch);
   feed.WatchStarted();
   feed.WatchAnswered(6 * kSecond, 2 * kSecond, 7);  // takes nothing back
   EXPECT_EQ(feed.revision(), 8u);
@@ -323,11 +324,11 @@
   feed.WatchFailed(3 * kSecond);
   EXPECT_TRUE(feed.synced());
   EXPECT_EQ(feed.complete_up_to(), kSecond);
-  EXPECT_EQ(feed.Due(3 * kSecond + 200 * kMillisecond - 1), Step::kWait);
-  EXPECT_EQ(feed.Due(3 * kSecond + 200 * kMillisecond), Step::kWatch);
-  EXPECT_EQ(feed.Due(8 * kSecond), Step::kWatch);     // 6 s after the list ended
-  EXPECT_EQ(feed.Due(8 * kSecond + 1), Step::kList);  // and later than that
-  EXPECT_TRUE(feed.synced());                         // what it has is old and good
+  EXPECT_EQ(feed.NextStep(3 * kSecond + 200 * kMillisecond - 1), Step::kWait);
+  EXPECT_EQ(feed.NextStep(3 * kSecond + 200 * kMillisecond), Step::kWatch);
+  EXPECT_EQ(feed.NextStep(8 * kSecond), Step::kWatch);     // 6 s after the list ended
+  EXPECT_EQ(feed.NextStep(8 * kSecond + 1), Step::kList);  // and later than that
+  EXPECT_TRUE(feed.synced());                              // what it has is old and good
 }
 
 TEST(ReplicaFeed, ListsAtOnceWhenTheChangesAreNoLongerThere) {
@@ -335,7 +336,7 @@
   feed.WatchTooOld(3 * kSecond);
   EXPECT_FALSE(feed.synced());
   EXPECT_EQ(feed.complete_up_to(), kSecond);  // what was known is known still
-  EXPECT_EQ(feed.Due(3 * kSecond), Step::kList);
+  EXPECT_EQ(feed.NextStep(3 * kSecond), Step::kList);
 }
 
 }  // namespace
--- a/tests/core_units_test.cc
+++ b/tests/core_units_test.cc
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "core/agents/failure_tracker.h"
-#include "core/io/fair_turns.h"
+#include "core/io/starvation_guard.h"
 #include "core/io/token_bucket.h"
 #include "core/scheduler/order.h"
 #include "core/scheduler/placement.h"
@@ -29,12 +29,12 @@
 }
 
 TEST(Tail, HelpersAreWholeMachinesCappedByTheCandidates) {
-  EXPECT_EQ(TailHelpers(0.13, 3, 8000, 16000), 1);  // rounded up: the exception
-  EXPECT_EQ(TailHelpers(100, 3, 8000, 16000), 2);   // no more than the tasks need
-  EXPECT_EQ(TailHelpers(20, 50, 8000, 16000), 2);   // no more than the credit allows
-  EXPECT_EQ(TailHelpers(10, 0, 8000, 16000), 0);
-  EXPECT_EQ(TailHelpers(0, 5, 8000, 16000), 0);
-  EXPECT_EQ(TailHelpers(10, 5, 32000, 16000), 0);  // would not fit
+  EXPECT_EQ(TailMachineCount(0.13, 3, 8000, 16000), 1);  // rounded up: the exception
+  EXPECT_EQ(TailMachineCount(100, 3, 8000, 16000), 2);   // no more than the tasks need
+  EXPECT_EQ(TailMachineCount(20, 50, 8000, 16000), 2);   // no more than the credit allows
+  EXPECT_EQ(TailMachineCount(10, 0, 8000, 16000), 0);
+  EXPECT_EQ(TailMachineCount(0, 5, 8000, 16000), 0);
+  EXPECT_EQ(TailMachineCount(10, 5, 32000, 16000), 0);  // would not fit
   EXPECT_TRUE(TailOverdue(21 * kSecond, 10 * kSecond, 2));
   EXPECT_FALSE(TailOverdue(19 * kSecond, 10 * kSecond, 2));
   EXPECT_FALSE(TailOverdue(19 * kSecond, 0, 2));
@@ -42,12 +42,12 @@
 
 TEST(FailureTracker, TellsBadMachinesFromBadJobs) {
   FailureTracker machine(2, 3);
-  machine.Failed(1, "m", "a");
+  machine.NoteFailure(1, "m", "a");
   EXPECT_FALSE(machine.Unhealthy("m"));
-  machine.Failed(2, "m", "b");
+  machine.NoteFailure(2, "m", "b");
   EXPECT_TRUE(machine.Unhealthy("m"));
   FailureTracker job(2, 3);
-  for (int i = 0; i < 6; ++i) job.Failed(kSecond * i, "m" + std::to_string(i % 3), "a");
+  for (int i = 0; i < 6; ++i) job.NoteFailure(kSecond * i, "m" + std::to_string(i % 3), "a");
   for (int i = 0; i < 3; ++i) EXPECT_FALSE(job.Unhealthy("m" + std::to_string(i)));
   EXPECT_GT(job.NextStart("a"), 5 * kSecond);
   EXPECT_EQ(job.NextStart("b"), 0);
@@ -56,18 +56,18 @@
   for (int i = 0; i < 3; ++i) EXPECT_FALSE(job.Unhealthy("m" + std::to_string(i)));
   // One that was done elsewhere leaves its word behind.
   FailureTracker word(2, 3);
-  for (int i = 0; i < 2; ++i) word.Failed(kSecond, "m", "a");
-  word.Tried("n", "a");
-  word.Succeeded("n", "a");
+  for (int i = 0; i < 2; ++i) word.NoteFailure(kSecond, "m", "a");
+  word.NoteStart("n", "a");
+  word.NoteSuccess("n", "a");
   word.ForgetJob("a");
   EXPECT_TRUE(word.Unhealthy("m"));
   // Alone on a machine a job says nothing of it, until it was tried elsewhere and well.
   FailureTracker alone(2, 3);
-  for (int i = 0; i < 4; ++i) alone.Failed(kSecond * i, "m", "a");
+  for (int i = 0; i < 4; ++i) alone.NoteFailure(kSecond * i, "m", "a");
   EXPECT_FALSE(alone.Unhealthy("m"));
-  alone.Tried("n", "a");
+  alone.NoteStart("n", "a");
   EXPECT_TRUE(alone.Unhealthy("m"));
-  alone.Failed(5 * kSecond, "n", "a");
+  alone.NoteFailure(5 * kSecond, "n", "a");
   EXPECT_FALSE(alone.Unhealthy("m"));
 }
 
@@ -76,17 +76,17 @@
   // 10 cpus: 100 cpu seconds take 10 s.
   std::vector<OrderItem> items = {{&soon, 60, 0}, {&soon, 90, 0}, {&soon, 30, 0}, {&later, 100, 0}};
   DeferLargest(0, 10, 0, &items);
-  EXPECT_EQ(items[0].tier, 0u);
-  EXPECT_EQ(items[1].tier, 1u);  // 18 s of work in 10 s: the largest waits for its next aim
-  EXPECT_EQ(items[2].tier, 0u);
-  EXPECT_EQ(items[3].tier, 0u);
+  EXPECT_EQ(items[0].limit_index, 0u);
+  EXPECT_EQ(items[1].limit_index, 1u);  // 18 s of work in 10 s: the largest waits for its next aim
+  EXPECT_EQ(items[2].limit_index, 0u);
+  EXPECT_EQ(items[3].limit_index, 0u);
   // With room for all nothing is put off, whatever its size.
-  for (OrderItem& i : items) i.tier = 0;
+  for (OrderItem& i : items) i.limit_index = 0;
   DeferLargest(0, 30, 0, &items);
-  for (const OrderItem& i : items) EXPECT_EQ(i.tier, 0u);
+  for (const OrderItem& i : items) EXPECT_EQ(i.limit_index, 0u);
   // What comes before counts, and nothing is put off past its last aim twice.
   DeferLargest(0, 10, 1000, &items);
-  for (const OrderItem& i : items) EXPECT_EQ(i.tier, i.limits->size());
+  for (const OrderItem& i : items) EXPECT_EQ(i.limit_index, i.latest_starts->size());
 }
 
 CandidateMachine Machine(const std::string& name, const std::string& zone, bool spot) {
@@ -190,13 +190,13 @@
 TEST(TokenBucket, WhoWaitsForMuchGetsItsTurnBesideWhoTakesLittle) {
   // One node with two shards: one commits 2 writes at a time, the other 4.
   TokenBucket budget(15, 25);
-  FairTurns turns;
+  StarvationGuard guard;
   int taken[2] = {0, 0};
   auto ask = [&](Micros now, int who, double n) {
-    bool got = turns.MayTake(now, who);
+    bool got = guard.MayTry(now, who);
     if (got) {
       got = budget.Take(now, n, 4);
-      turns.Took(now, who, got);
+      guard.RecordAttempt(now, who, got);
     }
     taken[who] += got ? 1 : 0;
   };
@@ -207,9 +207,9 @@
   EXPECT_GT(taken[1], 100);
   EXPECT_GT(taken[0], 100);
   // One that waits no longer does not hold the others up.
-  turns.Took(61 * kSecond, 1, false);
-  EXPECT_FALSE(turns.MayTake(61 * kSecond, 0));
-  EXPECT_TRUE(turns.MayTake(63 * kSecond, 0));
+  guard.RecordAttempt(61 * kSecond, 1, false);
+  EXPECT_FALSE(guard.MayTry(61 * kSecond, 0));
+  EXPECT_TRUE(guard.MayTry(63 * kSecond, 0));
 }
 
 TEST(Records, OneMoreChunkDividesOneAndLeavesTheOthers) {
@@ -266,7 +266,7 @@
     }
     r.rentals["h"] = {{"h", "t", "z", true, 4}, "job-1"};
     r.shares["team"] = {5, 6};
-    r.helps["job-1"] = {0.25};
+    r.tail_grants["job-1"] = {0.25};
     AssignmentTable back;
     back.form = form;
     for (int i = 0; i < 3; ++i) ASSERT_TRUE(DecodeChunk(EncodeChunk(r, i), i, &back));
--- a/tests/dependencies_units_test.cc
+++ b/tests/dependencies_units_test.cc
@@ -15,7 +15,7 @@
   EXPECT_EQ(graph.InheritedBy("a"), Urgency());
   graph.TakeChanged();
   graph.Add("d", {"c", "a"}, {Priority::kHigh, 1000}, 5);
-  graph.SetOwn("a", kIdle, 7);
+  graph.SetOwnUrgency("a", kIdle, 7);
   EXPECT_EQ(graph.InheritedBy("c"), (Urgency{Priority::kHigh, 1000 - 20}));
   EXPECT_EQ(graph.InheritedBy("b"), (Urgency{Priority::kHigh, 1000 - 20 - 10}));
   // The longest path counts: through b and c, not straight to d.
--- a/tests/fake_worker.cc
+++ b/tests/fake_worker.cc
@@ -13,7 +13,7 @@
   report.type = type;
   report.zone = zone;
   report.spot = spot;
-  report.session = session;
+  report.incarnation = incarnation;
   report.seq = ++seq;
   report.token = token;
   for (const auto& [key, task] : tasks) {
@@ -83,7 +83,7 @@
   Advance(now);
   if (target == "/show") return {200, wire::EncodeAgentHeartbeat(MakeReport())};
   const uint64_t their_token = body.at("baton").get<uint64_t>();
-  if (their_token < token || body.at("shift").get<uint64_t>() != session) {
+  if (their_token < token || body.at("shift").get<uint64_t>() != incarnation) {
     return {409, wire::EncodeAgentHeartbeat(MakeReport())};
   }
   if (their_token > token) {
@@ -94,9 +94,10 @@
   return {200, wire::EncodeAgentHeartbeat(MakeReport())};
 }
 
-void FakeWorker::TakeAnswer(Micros now, Micros sent, uint64_t sent_session, const Json& answer) {
+void FakeWorker::TakeAnswer(Micros now, Micros sent, uint64_t sent_incarnation,
+                            const Json& answer) {
   const uint64_t their_token = answer.value("baton", uint64_t{0});
-  if (dead || silent || their_token < token || sent_session != session) return;
+  if (dead || silent || their_token < token || sent_incarnation != incarnation) return;
   if (their_token > token) next_report = std::min(next_report, now + 500 * kMillisecond);
   token = their_token;
   lease_from = std::max(lease_from, sent);
@@ -118,7 +119,7 @@
   }
   if (now - lease_from > kWorkerLease) {
     tasks.clear();
-    ++session;
+    ++incarnation;
     lease_from = now;
   }
 }
--- a/tests/fake_worker.h
+++ b/tests/fake_worker.h
@@ -38,7 +38,7 @@
   // Answers a request that a node sent straight to it: status and body.
   std::pair<int, std::string> Serve(Micros now, const std::string& target, const Json& body);
   // Takes in the answer to a report that was sent then, in that session.
-  void TakeAnswer(Micros now, Micros sent, uint64_t sent_session, const Json& answer);
+  void TakeAnswer(Micros now, Micros sent, uint64_t sent_incarnation, const Json& answer);
   // Lets fetches, tasks and the lease end whose time has come.
   void Advance(Micros now);
   // Whether a task of that job has not exited on it.
@@ -54,7 +54,7 @@
   bool unhearing = false;  // its reports arrive, answers and commands do not reach it
   bool mute = false;       // it reaches no controller, direct commands reach it
   int only_node = -1;      // in a zone that is cut off: only this one and it reach each other
-  uint64_t session = 1, seq = 0, token = 0;
+  uint64_t incarnation = 1, seq = 0, token = 0;
   std::map<std::pair<std::string, int>, Task> tasks;
   std::map<std::string, Micros> run_time;  // by job; 0: until stopped
   size_t node = 0;                         // that it reports to
--- a/tests/fault_combinations_requests_test.cc
+++ b/tests/fault_combinations_requests_test.cc
@@ -145,7 +145,7 @@
   for (auto& [name, x] : w.workers) {
     old.emplace_back(name, wire::EncodeAgentHeartbeat(x->MakeReport()));
     x->tasks.clear();
-    ++x->session;
+    ++x->incarnation;
     x->lease_from = x->next_report = w.now;
     old.emplace_back(name, wire::EncodeAgentHeartbeat(x->MakeReport()));
   }
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -130,7 +130,7 @@
   }
   for (size_t n = 0; n < 3; ++n) acquired_machines += w.core(n).counters().acquired_machines;
   EXPECT_GT(acquired_machines, 5u);
-  for (const auto& [n, x] : w.workers) EXPECT_EQ(x->session, 1u) << n;
+  for (const auto& [n, x] : w.workers) EXPECT_EQ(x->incarnation, 1u) << n;
   EXPECT_KEPT(w);
 }
 
--- a/tests/fleet_units_test.cc
+++ b/tests/fleet_units_test.cc
@@ -68,7 +68,7 @@
   const std::string two = Pack(Json{{"hosts", Names{"m1", "m2"}}});
   EXPECT_EQ(DecodeRentalAnswer(200, two, 2).outcome, RentalOutcome::kRented);
   EXPECT_THAT(DecodeRentalAnswer(200, two, 2).instances, ElementsAre("m1", "m2"));
-  EXPECT_EQ(DecodeRentalAnswer(200, two, 3).outcome, RentalOutcome::kFilledInPart);
+  EXPECT_EQ(DecodeRentalAnswer(200, two, 3).outcome, RentalOutcome::kPartiallyFilled);
   EXPECT_EQ(DecodeRentalAnswer(400, "", 1).outcome, RentalOutcome::kRefused);
   EXPECT_EQ(DecodeRentalAnswer(503, "no capacity", 1).outcome, RentalOutcome::kRefused);
   EXPECT_EQ(DecodeRentalAnswer(503, "", 1).outcome, RentalOutcome::kUnknown);
@@ -79,7 +79,7 @@
 
 TEST(CloudAnswers, OnlyAnUnknownOutcomeIsNotDefinite) {
   for (const RentalOutcome outcome :
-       {RentalOutcome::kRented, RentalOutcome::kFilledInPart, RentalOutcome::kRefused}) {
+       {RentalOutcome::kRented, RentalOutcome::kPartiallyFilled, RentalOutcome::kRefused}) {
     EXPECT_TRUE((RentalAnswer{outcome, {}}).definite()) << NameOf(outcome);
   }
   EXPECT_FALSE((RentalAnswer{RentalOutcome::kUnknown, {}}).definite());
@@ -289,7 +289,7 @@
 TEST(OfferBackoff, AFilledRequestEndsThePauseAndOneFilledInPartCountsAsOneRefusal) {
   OfferBackoff backoff(10 * kSecond);
   for (int i = 0; i < 3; ++i) backoff.Refused(0, kOffer);
-  backoff.FilledInPart(0, kOffer);
+  backoff.PartiallyFilled(0, kOffer);
   EXPECT_FALSE(backoff.Paused(10 * kSecond, kOffer));
   backoff.Refused(0, kOffer);
   EXPECT_TRUE(backoff.Paused(20 * kSecond - 1, kOffer));
@@ -370,7 +370,7 @@
 
 class RentalRequestsTest : public FleetTest {
  protected:
-  const RentRequest ask_{"troutlink-0-1", "a", "z1", true, 2};
+  const RentRequest request_{"troutlink-0-1", "a", "z1", true, 2};
   const std::string rented_ = Pack(Json{{"hosts", Names{"m1", "m2"}}});
   OfferBackoff backoff_{10 * kSecond};
   std::vector<std::pair<int, RentalOutcome>> answers_;  // by shard
@@ -381,66 +381,66 @@
 };
 
 TEST_F(RentalRequestsTest, ARequestIsSentOnceAndItsInstancesAreKept) {
-  requests_.Send(kSecond, 3, ask_);
-  requests_.Send(kSecond, 3, ask_);
-  EXPECT_EQ(requests_.InstancesOf(ask_.request), nullptr);
+  requests_.Send(kSecond, 3, request_);
+  requests_.Send(kSecond, 3, request_);
+  EXPECT_EQ(requests_.InstancesOf(request_.id), nullptr);
   Answer(2 * kSecond, 200, rented_);
   EXPECT_THAT(answers_, ElementsAre(Pair(3, RentalOutcome::kRented)));
-  ASSERT_NE(requests_.InstancesOf(ask_.request), nullptr);
-  EXPECT_THAT(*requests_.InstancesOf(ask_.request), ElementsAre("m1", "m2"));
-  requests_.Send(60 * kSecond, 3, ask_);
+  ASSERT_NE(requests_.InstancesOf(request_.id), nullptr);
+  EXPECT_THAT(*requests_.InstancesOf(request_.id), ElementsAre("m1", "m2"));
+  requests_.Send(60 * kSecond, 3, request_);
   EXPECT_THAT(Sent(), IsEmpty());
 }
 
 TEST_F(RentalRequestsTest, AnUnknownOutcomeIsAskedForAgainWithTheSameRequest) {
-  requests_.Send(kSecond, 0, ask_);
+  requests_.Send(kSecond, 0, request_);
   Answer(kSecond, kNoAnswer, "");
   EXPECT_THAT(answers_, ElementsAre(Pair(0, RentalOutcome::kUnknown)));
-  EXPECT_EQ(requests_.InstancesOf(ask_.request), nullptr);
-  requests_.Send(2500 * kMillisecond - 1, 0, ask_);
+  EXPECT_EQ(requests_.InstancesOf(request_.id), nullptr);
+  requests_.Send(2500 * kMillisecond - 1, 0, request_);
   EXPECT_THAT(Sent(), IsEmpty());
-  requests_.Send(2500 * kMillisecond, 0, ask_);
-  EXPECT_THAT(Sent(), ElementsAre(Field(&Call::body, wire::EncodeRent(ask_))));
+  requests_.Send(2500 * kMillisecond, 0, request_);
+  EXPECT_THAT(Sent(), ElementsAre(Field(&Call::body, wire::EncodeRent(request_))));
 }
 
 TEST_F(RentalRequestsTest, ARefusalIsFinalAndBacksOffFromTheOffer) {
-  requests_.Send(kSecond, 0, ask_);
+  requests_.Send(kSecond, 0, request_);
   Answer(kSecond, 503, "no capacity");
-  ASSERT_NE(requests_.InstancesOf(ask_.request), nullptr);
-  EXPECT_THAT(*requests_.InstancesOf(ask_.request), IsEmpty());
+  ASSERT_NE(requests_.InstancesOf(request_.id), nullptr);
+  EXPECT_THAT(*requests_.InstancesOf(request_.id), IsEmpty());
   EXPECT_TRUE(backoff_.Paused(11 * kSecond - 1, kOffer));
-  requests_.Send(60 * kSecond, 0, ask_);
+  requests_.Send(60 * kSecond, 0, request_);
   EXPECT_THAT(Sent(), IsEmpty());
 }
 
 TEST_F(RentalRequestsTest, ARequestFilledInPartBacksOffAndOneFilledDoesNot) {
-  requests_.Send(kSecond, 0, ask_);
+  requests_.Send(kSecond, 0, request_);
   Answer(kSecond, 200, Pack(Json{{"hosts", Names{"m1"}}}));
-  EXPECT_THAT(answers_, ElementsAre(Pair(0, RentalOutcome::kFilledInPart)));
+  EXPECT_THAT(answers_, ElementsAre(Pair(0, RentalOutcome::kPartiallyFilled)));
   EXPECT_TRUE(backoff_.Paused(11 * kSecond - 1, kOffer));
-  RentRequest next = ask_;
-  next.request = "troutlink-0-2";
+  RentRequest next = request_;
+  next.id = "troutlink-0-2";
   requests_.Send(2 * kSecond, 0, next);
   Answer(2 * kSecond, 200, rented_);
   EXPECT_FALSE(backoff_.Paused(2 * kSecond, kOffer));
 }
 
 TEST_F(RentalRequestsTest, AForgottenRequestIsSentAgain) {
-  requests_.Send(kSecond, 0, ask_);
+  requests_.Send(kSecond, 0, request_);
   Answer(kSecond, 200, rented_);
-  requests_.Forget(ask_.request);
-  EXPECT_EQ(requests_.InstancesOf(ask_.request), nullptr);
-  requests_.Send(2 * kSecond, 0, ask_);
+  requests_.Forget(request_.id);
+  EXPECT_EQ(requests_.InstancesOf(request_.id), nullptr);
+  requests_.Send(2 * kSecond, 0, request_);
   EXPECT_THAT(Sent(), SizeIs(1));
 }
 
 TEST_F(RentalRequestsTest, ARequestWaitsForACallOfTheCloud) {
   cloud_calls_ = TokenBucket(0, 1);
   ASSERT_TRUE(cloud_calls_.Take(kSecond, 1));
-  requests_.Send(kSecond, 0, ask_);
+  requests_.Send(kSecond, 0, request_);
   EXPECT_THAT(Sent(), IsEmpty());
   cloud_calls_ = TokenBucket(0, 1);
-  requests_.Send(kSecond, 0, ask_);
+  requests_.Send(kSecond, 0, request_);
   EXPECT_THAT(Sent(), SizeIs(1));
 }
 
@@ -512,7 +512,7 @@
 
 TEST_F(InstanceReturnsTest, UnderAnotherLeadershipAReturnInFlightIsSentAgain) {
   returns_.Send(kSecond, 0, instances_);
-  returns_.Restart("m3");
+  returns_.ForgetInFlight("m3");
   EXPECT_THAT(Sent(), SizeIs(1));
   returns_.Send(kSecond, 0, instances_);
   EXPECT_THAT(Sent(), ElementsAre(Field(&Call::body, wire::EncodeReturn({"m3"}))));
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -197,7 +197,7 @@
   w.Run(10 * kSecond);
   EXPECT_EQ(w.Replicas(), kServices * kReplicas);
   EXPECT_LT(w.Sum(&Counters::starts) - starts, 700u);  // arrays go on
-  for (const auto& [n, x] : w.workers) EXPECT_EQ(x->session, 1u);
+  for (const auto& [n, x] : w.workers) EXPECT_EQ(x->incarnation, 1u);
   EXPECT_KEPT(w);
 }
 
@@ -297,10 +297,10 @@
   // Seen: 650 puts, 200 commits, 630 rounds, 120 calls to the cloud, 5,400 to workers.
   EXPECT_LT(w.Sum(&Counters::puts), 1100u);
   EXPECT_LT(w.Sum(&Counters::commits), 400u);
-  EXPECT_LT(w.Sum(&Counters::rounds), 1500u);
+  EXPECT_LT(w.Sum(&Counters::cycles), 1500u);
   EXPECT_LT(w.SumCalls(&Effects::CallCounts::cloud), 250u);
   EXPECT_LT(w.SumCalls(&Effects::CallCounts::agent), 9000u);
-  EXPECT_EQ(w.Sum(&Counters::oversized), 0u);
+  EXPECT_EQ(w.Sum(&Counters::oversized_plans), 0u);
   EXPECT_LT(chunks, 30u);
   EXPECT_KEPT(w);
 }
@@ -345,7 +345,7 @@
       201);
   EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-900") == 10; }, 10 * kSecond));
   for (const auto& [n, x] : w.workers) {
-    EXPECT_TRUE(x->dead || x->session == 1) << n;
+    EXPECT_TRUE(x->dead || x->incarnation == 1) << n;
   }
   EXPECT_KEPT(w);
 }
--- a/tests/leadership_units_test.cc
+++ b/tests/leadership_units_test.cc
@@ -80,7 +80,7 @@
   ASSERT_THAT(peers.Find("b"), NotNull());
   EXPECT_EQ(peers.At("b").last_heard, 0);
   mesh::Heartbeat heartbeat;
-  heartbeat.seen = 7;
+  heartbeat.replica_revision = 7;
   heartbeat.state_age_us = 300;
   heartbeat.epochs = {{0, 5, "b"}, {1, 6, "c"}, {2, 4, "b"}};
   peers.NoteHeartbeat(kSecond, "b", heartbeat);
@@ -154,7 +154,7 @@
     return records.at(shard_id).leadership;
   }
   bool NeedsTableMigration(int /*shard_id*/) const override { return migrate; }
-  void AddElectionTerms(int /*shard_id*/, StateTxn* /*txn*/) const override {}
+  void AddElectionRequirements(int /*shard_id*/, StateTxn* /*txn*/) const override {}
   bool CommitInFlight(int /*shard_id*/) const override { return commit_in_flight; }
   bool ManyMachinesSilent(int /*shard_id*/) const override { return many_silent; }
   void ApplyCommitted(Micros /*now*/, const std::vector<StateWrite>& writes,
@@ -166,7 +166,7 @@
   }
   void RequestList() override { ++lists; }
   void OnElected(Micros /*now*/, int shard_id) override { elected.push_back(shard_id); }
-  void OnEpochFell(int /*shard_id*/, uint64_t /*epoch*/, uint64_t revision) override {
+  void OnEpochRegressed(int /*shard_id*/, uint64_t /*epoch*/, uint64_t revision) override {
     fell.push_back(revision);
   }
   void OnLeadershipLost(Micros /*now*/, int /*shard_id*/, LossReason reason) override {
@@ -289,13 +289,13 @@
   // shard 1 node c comes first.
   const std::vector<Call> calls = Calls();
   ASSERT_THAT(calls, SizeIs(2));
-  EXPECT_TRUE(election_.Of(0).acquiring);
-  EXPECT_TRUE(election_.Of(2).acquiring);
+  EXPECT_TRUE(election_.Of(0).election_in_flight);
+  EXPECT_TRUE(election_.Of(2).election_in_flight);
   election_.Tick(now_ + 600 * kMillisecond - 1);
   EXPECT_THAT(Calls(), IsEmpty());
   election_.Tick(now_ + 600 * kMillisecond);
   EXPECT_THAT(Calls(), SizeIs(1));
-  EXPECT_TRUE(election_.Of(1).acquiring);
+  EXPECT_TRUE(election_.Of(1).election_in_flight);
   effects_.HandleAnswer(now_, calls[0].id, 200, CommitBody(5));
   EXPECT_THAT(shards_.elected, ElementsAre(0));
   EXPECT_EQ(shards_.records[0].leadership.boot, kBoot);
@@ -309,7 +309,7 @@
   write_budget_.Force(now_, 1000);
   election_.Tick(now_);
   EXPECT_THAT(Calls(), IsEmpty());
-  EXPECT_FALSE(election_.Of(0).acquiring);
+  EXPECT_FALSE(election_.Of(0).election_in_flight);
 }
 
 TEST_F(LeadershipTest, ConflictsBackOffAndMakeTheReplicaBeReadAgain) {
@@ -357,7 +357,7 @@
   shards_.records[0] = {4, {"a", kBoot - 1}};
   election_.Tick(now_);
   EXPECT_THAT(Calls(), SizeIs(1));
-  EXPECT_TRUE(election_.Of(0).acquiring);
+  EXPECT_TRUE(election_.Of(0).election_in_flight);
 }
 
 TEST_F(LeadershipTest, AnEpochNeverFalls) {
@@ -451,7 +451,7 @@
   Ask("b");
   effects_.HandleAnswer(now_, OnlyCall().id, 409, CommitBody(6));
   EXPECT_TRUE(election_.IsLeader(1));
-  EXPECT_FALSE(election_.Of(1).releasing);
+  EXPECT_FALSE(election_.Of(1).failback_in_flight);
 }
 
 TEST_F(FailbackTest, AShardStaysWhileItsLeaderIsNewOrCommits) {
@@ -477,8 +477,8 @@
 TEST_F(FailbackTest, ANodeWantsItsShardOnceItHasBeenHealthy) {
   auto wanted = [this] {
     mesh::Heartbeat heartbeat;
-    election_.FillWanted(now_, &heartbeat);
-    return heartbeat.wanted;
+    election_.FillWantedShards(now_, &heartbeat);
+    return heartbeat.wanted_shards;
   };
   health_.NoteStateAnswer(now_);
   EXPECT_THAT(wanted(), ElementsAre(0));
@@ -547,7 +547,7 @@
   EXPECT_EQ(messages[1].to, "c");
   EXPECT_EQ(PingOf(messages[0]).seq, 1001u);
   EXPECT_EQ(PingOf(messages[1]).seq, 1002u);
-  EXPECT_EQ(PingOf(messages[0]).seen, 12u);
+  EXPECT_EQ(PingOf(messages[0]).replica_revision, 12u);
   EXPECT_THAT(PingOf(messages[0]).silent_machines, ElementsAre(mesh::SilentMachine{"m0", 20}));
   heartbeats_.Tick(now_ + 500 * kMillisecond - 1);
   EXPECT_THAT(Messages(), IsEmpty());
@@ -558,7 +558,7 @@
 TEST_F(HeartbeatTest, NewsThatUsersAreToldOfGoesOutAtTheNextTick) {
   heartbeats_.Tick(now_);
   Messages();
-  heartbeats_.SendSoon(now_ + 1);
+  heartbeats_.SendNextTick(now_ + 1);
   heartbeats_.Tick(now_ + 1);
   EXPECT_THAT(Messages(), SizeIs(2));
 }
@@ -579,14 +579,14 @@
   cancellations_.AddCommitted(9, "new");
   mesh::HeartbeatRequest ping;
   ping.seq = 42;
-  ping.seen = 8;
+  ping.replica_revision = 8;
   heartbeats_.OnPing(now_, "b", ping);
   const std::vector<PeerMessage> messages = Messages();
   ASSERT_THAT(messages, SizeIs(1));
   EXPECT_EQ(messages[0].to, "b");
   const auto& pong = std::get<mesh::HeartbeatReply>(messages[0].message);
   EXPECT_EQ(pong.seq, 42u);
-  EXPECT_THAT(pong.cancels, ElementsAre("new"));
+  EXPECT_THAT(pong.cancelled_jobs, ElementsAre("new"));
   EXPECT_EQ(peers_.At("b").last_heard, now_);
 }
 
@@ -596,8 +596,8 @@
   for (const PeerMessage& message : Messages()) {
     mesh::HeartbeatReply pong;
     pong.seq = PingOf(message).seq;
-    pong.seen = 3;
-    pong.cancels = {"job"};
+    pong.replica_revision = 3;
+    pong.cancelled_jobs = {"job"};
     heartbeats_.OnPong(now_ + kSecond, message.to, pong);
   }
   EXPECT_THAT(machines_.cancelled, ElementsAre("job", "job"));
--- a/tests/mesh_codec_units_test.cc
+++ b/tests/mesh_codec_units_test.cc
@@ -39,10 +39,10 @@
   heartbeat.seq = 300;
   heartbeat.state_age_us = 5;
   heartbeat.epochs = {{1, 300, "node-1"}, {2, 7, ""}};
-  heartbeat.cancels = {"job-1", "job-22"};
-  heartbeat.cancels_from = 9;
-  heartbeat.seen = std::numeric_limits<uint64_t>::max();
-  heartbeat.wanted = {3, 4};
+  heartbeat.cancelled_jobs = {"job-1", "job-22"};
+  heartbeat.cancellations_complete_above = 9;
+  heartbeat.replica_revision = std::numeric_limits<uint64_t>::max();
+  heartbeat.wanted_shards = {3, 4};
   heartbeat.cached_images = {{"n-1", {"a", "b"}}, {"n-2", {}}};
   heartbeat.silent_machines = {{"n-3", 1234567}};
   return heartbeat;
@@ -113,7 +113,7 @@
 
 TEST(MeshCodec, DoesNotCrashOnDamagedMessages) {
   HeartbeatRequest ping;
-  ping.cancels = {"job-1", "job-22"};
+  ping.cancelled_jobs = {"job-1", "job-22"};
   ping.epochs = {{1, 300, "node-1"}};
   for (const HeartbeatRequest& good : {ping, FullPing()}) {
     Damage(ContentOf(Encode(good)), [](const std::string& damaged) { (void)Decode(damaged); });
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -244,8 +244,8 @@
     const Counters& c = w.core(n).counters();
     puts += c.puts + w.core(n).api_counters().record_writes;
     commits += c.commits;
-    rounds += c.rounds;
-    oversized += c.oversized;
+    rounds += c.cycles;
+    oversized += c.oversized_plans;
   }
   // 60 submissions, 60 ends; the rest are assignment tables and progress, many tasks in each.
   EXPECT_LT(puts, 700u);
--- a/tests/settings_units_test.cc
+++ b/tests/settings_units_test.cc
@@ -121,7 +121,7 @@
   const auto parsed = ParseSettings(PlatformDocument().dump());
   ASSERT_THAT(parsed, HoldsValue());
   EXPECT_THAT(parsed->labels, ElementsAre("node-1", "node-2", "node-3"));
-  EXPECT_EQ(parsed->own_shard, 1);
+  EXPECT_EQ(parsed->home_shard, 1);
   EXPECT_EQ(parsed->shard_count(), 3);
 }
 
--- a/tests/soak/worker_pool.cc
+++ b/tests/soak/worker_pool.cc
@@ -99,16 +99,16 @@
 void WorkerPool::AgentHeartbeat(Micros now, test::FakeWorker* worker) {
   worker->reporting = true;
   const size_t node = worker->node;
-  calls_.Send(
-      controllers_[node], "POST", std::string(wire::kHeartbeatPath),
-      wire::EncodeAgentHeartbeat(worker->MakeReport()), kReportTimeout,
-      [this, worker, node, now, session = worker->session](int status, const std::string& body) {
-        OnReportAnswered(worker, node, now, session, status, body);
-      });
+  calls_.Send(controllers_[node], "POST", std::string(wire::kHeartbeatPath),
+              wire::EncodeAgentHeartbeat(worker->MakeReport()), kReportTimeout,
+              [this, worker, node, now, incarnation = worker->incarnation](
+                  int status, const std::string& body) {
+                OnReportAnswered(worker, node, now, incarnation, status, body);
+              });
 }
 
 void WorkerPool::OnReportAnswered(test::FakeWorker* worker, size_t node, Micros sent,
-                                  uint64_t session, int status, const std::string& body) {
+                                  uint64_t incarnation, int status, const std::string& body) {
   const size_t next = (node + 1) % controllers_.size();
   const Micros now = runtime::SteadyNow();
   if (worker->hung || worker->unhearing || now - sent > kReportTimeout) {
@@ -119,7 +119,7 @@
   if (status == 200 && !answer.contains("orders")) report_("an answer to a report has no orders");
   if (status == 200 && answer.contains("orders")) {
     ReportNext(worker, node, kReport);
-    worker->TakeAnswer(now, sent, session, answer);
+    worker->TakeAnswer(now, sent, incarnation, answer);
     return;
   }
   const std::string leader = status == 421 ? answer.value("foreman", "") : "";
--- a/tests/soak/worker_pool.h
+++ b/tests/soak/worker_pool.h
@@ -52,7 +52,7 @@
   test::FakeWorker& Make(const std::string& type, bool spot);
   void OnCommand(test::FakeWorker* worker, const Request& request);
   void AgentHeartbeat(Micros now, test::FakeWorker* worker);
-  void OnReportAnswered(test::FakeWorker* worker, size_t node, Micros sent, uint64_t session,
+  void OnReportAnswered(test::FakeWorker* worker, size_t node, Micros sent, uint64_t incarnation,
                         int status, const std::string& body);
   void ReportNext(test::FakeWorker* worker, size_t node, Micros wait);
 
--- a/tests/store_units_test.cc
+++ b/tests/store_units_test.cc
@@ -129,7 +129,7 @@
   recorder_.Take();
   Put(Record("job-1", {}, JobState::kDone), 2);
   EXPECT_THAT(recorder_.Take(), ElementsAre("finished job-1"));
-  EXPECT_TRUE(jobs_.IsOver("job-1"));
+  EXPECT_TRUE(jobs_.IsFinished("job-1"));
   EXPECT_THAT(jobs_.open(), IsEmpty());
   EXPECT_THAT(
       jobs_.At("job-1").record.spec,
@@ -215,14 +215,14 @@
   EXPECT_TRUE(jobs_.HadService("t"));
   EXPECT_TRUE(jobs_.IsServiceImage("i"));
   EXPECT_FALSE(jobs_.IsServiceImage("j"));
-  EXPECT_TRUE(jobs_.spread_seen());
+  EXPECT_TRUE(jobs_.had_spread_service());
 }
 
 TEST(KnownJobState, HasANameAndTellsWhetherTasksHaveToEnd) {
   EXPECT_EQ(NameOf(KnownJobState::kBlocked), "blocked");
-  EXPECT_FALSE(IsOver(KnownJobState::kUnknown));
-  EXPECT_TRUE(IsOver(KnownJobState::kCancelled));
-  EXPECT_TRUE(IsOver(KnownJobState::kDone));
+  EXPECT_FALSE(IsFinished(KnownJobState::kUnknown));
+  EXPECT_TRUE(IsFinished(KnownJobState::kCancelled));
+  EXPECT_TRUE(IsFinished(KnownJobState::kDone));
 }
 
 // --- shards ------------------------------------------------------------------------------
--- a/tests/wire_units_test.cc
+++ b/tests/wire_units_test.cc
@@ -243,7 +243,7 @@
   report.type = "small";
   report.zone = "z1";
   report.spot = true;
-  report.session = 1;
+  report.incarnation = 1;
   report.seq = 2;
   report.token = 3;
   report.notice = 30 * kSecond;
@@ -268,7 +268,7 @@
       Optional(AllOf(
           Field(&AgentHeartbeat::machine, "n-1"), Field(&AgentHeartbeat::addr, "10.0.0.9:1"),
           Field(&AgentHeartbeat::type, "small"), Field(&AgentHeartbeat::zone, "z1"),
-          Field(&AgentHeartbeat::spot, true), Field(&AgentHeartbeat::session, 1U),
+          Field(&AgentHeartbeat::spot, true), Field(&AgentHeartbeat::incarnation, 1U),
           Field(&AgentHeartbeat::seq, 2U), Field(&AgentHeartbeat::token, 3U),
           Field(&AgentHeartbeat::notice, Optional(30 * kSecond)),
           Field(
@@ -340,7 +340,7 @@
 TEST(Reports, DoNotCrashTheDecoderWhenDamaged) {
   AgentHeartbeat report;
   report.machine = "n-1";
-  report.session = report.seq = 1;
+  report.incarnation = report.seq = 1;
   report.tasks.push_back({"job-1", 2, 3, TaskState::kExited, ExitReason::kDone, true});
   for (const AgentHeartbeat& good : {report, FullReport()}) {
     Damage(EncodeAgentHeartbeat(good),
--- a/tests/workers_test.cc
+++ b/tests/workers_test.cc
@@ -102,7 +102,7 @@
   for (auto& [name, x] : w.workers) {
     if (!x->Has("job-5")) continue;
     x->tasks.clear();
-    ++x->session;
+    ++x->incarnation;
   }
   EXPECT_EQ(w.OnMachines("job-5"), 0);
   EXPECT_TRUE(w.Until([&] { return w.OnMachines("job-5") == 2; }, 10 * kSecond));
@@ -235,7 +235,7 @@
     for (auto& [name, x] : w.workers) {
       if (!x->Has("job-5") || ++n % 2 == 0) continue;
       x->tasks.clear();
-      ++x->session;
+      ++x->incarnation;
       x->lease_from = x->next_report = w.now;
     }
     w.Run(60 * kMillisecond + moment * (70 * kMillisecond));
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -391,10 +391,10 @@
     ReportNext(worker, other, kSecond);
   });
   to.waiting[request.id] = [this, worker, node, over, sent = now,
-                            session = worker->session](const Reply& reply) {
+                            incarnation = worker->incarnation](const Reply& reply) {
     if (*over) return;
     *over = true;
-    TakeReportAnswer(worker, node, sent, session, reply);
+    TakeReportAnswer(worker, node, sent, incarnation, reply);
   };
   At(now + kLatency, [this, node, boot = to.boot, request] {
     Deliver(node, [this, node, boot, request] {
@@ -404,7 +404,7 @@
   });
 }
 
-void World::TakeReportAnswer(FakeWorker* worker, size_t node, Micros sent, uint64_t session,
+void World::TakeReportAnswer(FakeWorker* worker, size_t node, Micros sent, uint64_t incarnation,
                              const Reply& reply) {
   const size_t other = (node + 1) % nodes_.size();
   if (worker->hung) {
@@ -418,7 +418,7 @@
   Json answer = wire::Unpack(reply.body).value_or(Json::object());
   if (reply.status == 200) {
     ReportNext(worker, node, kReport);
-    worker->TakeAnswer(now, sent, session, answer);
+    worker->TakeAnswer(now, sent, incarnation, answer);
     return;
   }
   const std::string leader = reply.status == 421 ? answer.value("foreman", "") : "";
--- a/tests/world.h
+++ b/tests/world.h
@@ -182,7 +182,7 @@
 
   // --- what workers send ---
   void WorkerReports(FakeWorker* worker);
-  void TakeReportAnswer(FakeWorker* worker, size_t node, Micros sent, uint64_t session,
+  void TakeReportAnswer(FakeWorker* worker, size_t node, Micros sent, uint64_t incarnation,
                         const Reply& reply);
   void ReportNext(FakeWorker* worker, size_t to, Micros wait);
 
