--- a/src/core/agents/commands.cc
+++ b/src/core/agents/commands.cc
@@ -137,8 +137,8 @@
   if (commands.commands.empty() && !token_unseen) return;
   agent.direct_call_in_flight = true;
   std::string body = wire::EncodeCommands(commands.token, agent.incarnation, commands.commands);
-  effects_.Send(Dest::kWorker, agent.addr, "POST", std::string(wire::kCommandsPath),
-                std::move(body), kCommandTimeout,
+  effects_.Send(Dest::kAgent, agent.addr, "POST", std::string(wire::kCommandsPath), std::move(body),
+                kCommandTimeout,
                 [this, shard_id, name, commands = std::move(commands)](Micros answered, int status,
                                                                        const std::string& reply) {
                   OnCommandsAnswered(answered, shard_id, name, commands, status, reply);
@@ -220,7 +220,7 @@
   AgentState& agent = machines_[name];
   if (agent.direct_call_in_flight || agent.addr.empty() || now < agent.next_direct_call_at) return;
   agent.direct_call_in_flight = true;
-  effects_.Send(Dest::kWorker, agent.addr, "GET", std::string(wire::kShowPath), "", kCommandTimeout,
+  effects_.Send(Dest::kAgent, agent.addr, "GET", std::string(wire::kShowPath), "", kCommandTimeout,
                 [this, shard_id, name](Micros answered, int status, const std::string& body) {
                   OnProbeAnswered(answered, shard_id, name, status, body);
                 });
--- a/src/core/agents/failure_detection.cc
+++ b/src/core/agents/failure_detection.cc
@@ -12,8 +12,8 @@
 constexpr int kAllSilentPercent = 95;
 constexpr int kPartitionedZonePercent = 80;
 constexpr Micros kReturnLatency = kSecond;  // from the decision to the cloud's answer
-constexpr int kAllSilentTimeoutFactor =
-    4;  // multiple of the cancellation deadline, if no machine is heard
+// Multiple of the cancellation deadline, if no machine is heard.
+constexpr int kAllSilentTimeoutFactor = 4;
 constexpr Micros kCancellationMargin = 300 * kMillisecond;
 constexpr Micros kBootMargin = 10 * kSecond;
 constexpr Micros kFirstHeartbeatMargin = 5 * kSecond;
--- a/src/core/agents/heartbeats.cc
+++ b/src/core/agents/heartbeats.cc
@@ -16,8 +16,8 @@
 constexpr Micros kRelayDuration = 20 * kSecond;
 constexpr Micros kRelayTimeout = 3 * kSecond;
 constexpr Micros kLeaseLossMargin = 2 * kSecond;
-constexpr size_t kMaxUnassignedAgents =
-    10000;  // machines; bounded, as any client can send heartbeats
+// Bounded, as any client can send heartbeats.
+constexpr size_t kMaxUnassignedAgents = 10000;
 }  // namespace
 
 void Core::ReplyToHeartbeat(const HeartbeatSource& source, int status, std::string body) {
--- a/src/core/api/request_forwarder.cc
+++ b/src/core/api/request_forwarder.cc
@@ -108,7 +108,7 @@
   if (open == open_.end()) return;
   open->second.forward_id = 0;
   if (!http_status::IsTemporary(reply.status)) {
-    // Apply a cancellation that a user is told of here too, as the peer may end before its
+    // Apply a cancellation reported to a user here too, as the peer may end before its
     // heartbeat reports it.
     std::optional<JobStatus> status;
     if (reply.status == http_status::kOk) status = wire::DecodeJobStatus(reply.body);
--- a/src/core/api/user_api.cc
+++ b/src/core/api/user_api.cc
@@ -16,7 +16,7 @@
       records_(services.effects, services.write_budget, services.state_budget, jobs, status,
                &counters_),
       // Half of the deadline for stopping cancelled tasks: by then every replica must contain a
-      // cancellation that users were told of.
+      // cancellation that users know of.
       queries_(settings->cancellation_deadline / 2, services.effects, services.state_budget, jobs,
                status, &records_, cancellations, &forwarder_),
       shard_backlog_(loads),
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -192,13 +192,13 @@
     bool progress_dirty = false;
     bool table_maintained = false;   // the last turn went to table maintenance
     bool records_committed = false;  // the last turn went to job records
-    uint32_t batch = 0;
-    Micros next_state_log = 0;    // time of the next log line on the shard's state
-    int next_cleanup_chunk = 0;   // next chunk to clean up
-    int partial_cycles = 0;       // number of cycles over a table of many chunks
+    uint32_t batch = 0;              // starts per cycle
+    Micros next_state_log = 0;       // time of the next log line on the shard's state
+    int next_cleanup_chunk = 0;      // next chunk to clean up
+    int partial_cycles = 0;          // number of cycles over a table of many chunks
     int reduced_cycles_left = 0;  // cycles left with reduced limits, after a plan that did not fit
-    double array_peak_cpus = 0;   // peak demand of arrays in milli-CPUs
-    double decayed_array_peak = 0;  // the same, decayed
+    double array_peak_cpus = 0;   // peak demand of arrays, in milli-CPUs
+    double decayed_array_peak = 0;  // in milli-CPUs
     Micros array_peak_at = 0;
   };
   struct Shard {
@@ -247,7 +247,7 @@
   // Whether the machine is assigned to a shard that another node leads.
   bool LedByAnother(const std::string& machine) const;
 
-  // --- LeadershipStore (leadership_store.cc) and LeadershipObserver (takeover.cc) -----------
+  // --- LeadershipStore (leadership_store.cc) and LeadershipObserver (failover.cc) -----------
   uint64_t LeadershipVersion(int shard_id) const override {
     return ShardAt(shard_id).replica.leadership_version;
   }
@@ -282,7 +282,7 @@
     bool start_in_flight = false;  // a direct start command awaits its answer
     bool moved_for_tail = false;   // being moved to a tail machine
     bool stopping = false;
-    Micros stop_decided_at = 0;  // when the stop was decided
+    Micros stop_decided_at = 0;
     Micros stop_grace = 0;
     bool stop_sent = false;
     TaskState state = TaskState::kFetching;
--- a/src/core/fleet/offer_health.h
+++ b/src/core/fleet/offer_health.h
@@ -30,8 +30,8 @@
 
  private:
   static constexpr Micros kHalfLife = 120 * kSecond;
-  static constexpr double kMinFailures =
-      1.5;  // just below the decayed count of two recent failures
+  // Just below the decayed count of two recent failures.
+  static constexpr double kMinFailures = 1.5;
   static constexpr double kMaxPenalty = 4;
 
   struct Boots {
--- a/src/core/io/effects.cc
+++ b/src/core/io/effects.cc
@@ -21,7 +21,7 @@
       state_requests_->Force(last_tick_, 1);
       break;
     case Dest::kCloud: ++call_counts_.cloud; break;
-    case Dest::kWorker: ++call_counts_.agent; break;
+    case Dest::kAgent: ++call_counts_.agent; break;
   }
 }
 
--- a/src/core/io/io.h
+++ b/src/core/io/io.h
@@ -25,11 +25,11 @@
   int retry_after_s = 0;
 };
 
-enum class Dest { kState, kWatch, kCloud, kWorker };
+enum class Dest { kState, kWatch, kCloud, kAgent };
 
 // Statuses of calls without an answer.
-inline constexpr int kNoAnswer =
-    0;  // sent, at least in part: it may have been or may yet be executed
+// Sent, at least in part: it may have been or may yet be executed.
+inline constexpr int kNoAnswer = 0;
 inline constexpr int kNotSent = -1;  // the connection was never opened: it will not be executed
 
 struct Call {
--- a/src/core/leadership/heartbeat_exchange.h
+++ b/src/core/leadership/heartbeat_exchange.h
@@ -50,7 +50,7 @@
 
  private:
   std::vector<mesh::CachedImages> NextCachedImages(Micros now);
-  // `seen`: revision up to which the receiver's replica is complete.
+  // `replica_revision`: revision up to which the receiver's replica is complete.
   mesh::Heartbeat MakeHeartbeat(Micros now, uint64_t replica_revision) const;
   void OnHeartbeat(Micros now, const std::string& from, const mesh::Heartbeat& heartbeat);
   void OnSilentMachines(Micros now, const std::string& from,
--- a/src/core/leadership/permits.h
+++ b/src/core/leadership/permits.h
@@ -48,8 +48,8 @@
   bool process_paused = false;
   KnownJobState job_state = KnownJobState::kUnknown;
   Micros now = 0;
-  Micros cancellations_bound =
-      0;  // until then every unknown cancellation can still be enforced in time
+  // Until then every unknown cancellation can still be enforced in time.
+  Micros cancellations_bound = 0;
 
   Result<StartPermit, Refusal> Evaluate() const;
 };
@@ -84,8 +84,8 @@
   KnownJobState job_state = KnownJobState::kUnknown;
   bool has_dependencies = false;
   Micros replica_age = 0;
-  Micros max_age =
-      0;  // maximum replica age at which no cancellation that users know of can be missing
+  // Maximum replica age at which no cancellation that users know of can be missing.
+  Micros max_age = 0;
 
   Result<OpenAnswerPermit, Refusal> Evaluate() const;
 };
--- a/src/core/scheduler/commit.cc
+++ b/src/core/scheduler/commit.cc
@@ -16,8 +16,8 @@
 constexpr int64_t kMaxChunkBytes = int64_t{13} * 1024;
 constexpr int kMaxChunks = 1024;
 constexpr int64_t kMaxFillPercent = 95;  // of the size limit of a value
-constexpr int kWritesAfterMovedJobs =
-    2;  // writes left for the rest of the transaction after the moved jobs
+// Writes left for the rest of the transaction after the moved jobs.
+constexpr int kWritesAfterMovedJobs = 2;
 constexpr int kMinOpsForReserve = 8;  // below this a transaction has no writes to leave
 // Tokens of the write budget that a commit of each urgency leaves untouched.
 constexpr double kCriticalReserve = 2;
--- a/src/core/scheduler/pending_jobs.cc
+++ b/src/core/scheduler/pending_jobs.cc
@@ -108,12 +108,12 @@
 // Updates the decaying peak of array demand. It decays linearly to zero within kPeakDecaySeconds.
 void Core::UpdateArrayPeak(Micros now, Shard* shard, double array_cpus) {
   const double age = ToSeconds(now - shard->cycle.array_peak_at);
-  double faded = shard->cycle.array_peak_cpus * std::max(0.0, 1.0 - age / kPeakDecaySeconds);
-  if (array_cpus >= faded) {
-    shard->cycle.array_peak_cpus = faded = array_cpus;
+  double decayed_peak = shard->cycle.array_peak_cpus * std::max(0.0, 1.0 - age / kPeakDecaySeconds);
+  if (array_cpus >= decayed_peak) {
+    shard->cycle.array_peak_cpus = decayed_peak = array_cpus;
     shard->cycle.array_peak_at = now;
   }
-  shard->cycle.decayed_array_peak = faded;
+  shard->cycle.decayed_array_peak = decayed_peak;
 }
 
 // CPUs of each team's quota share in this shard that its services leave to arrays. Teams without a
--- a/src/core/scheduler/placer.cc
+++ b/src/core/scheduler/placer.cc
@@ -115,7 +115,7 @@
     bool gang = false;                    // all tasks share one attempt number
     bool all_or_nothing = false;          // all tasks start, or none
     std::unique_ptr<Plan> rollback_plan;  // to roll back to
-    size_t first_start = 0;               // length of Plan::started before this job
+    size_t first_start = 0;               // length of Plan::started_attempts before this job
     uint64_t gang_number = 0;
     int remaining = 0;             // tasks still to place
     int machine = -1;              // last chosen, -1: none
--- a/src/core/scheduler/tail_acceleration.cc
+++ b/src/core/scheduler/tail_acceleration.cc
@@ -102,11 +102,14 @@
   int room = tail.steady_slots - tail.pending;
   for (const OverdueTask& task : tail.overdue) {
     if (room <= 0) return;
-    auto on = std::find_if(
+    auto current = std::find_if(
         plan->machines.begin(), plan->machines.end(),
         [&task](const CandidateMachine& machine) { return machine.name == task.state->machine; });
     // The task is already on a healthy machine of this job's tail.
-    if (on != plan->machines.end() && !on->spot && on->usable && on->tail_job == spec.id) continue;
+    if (current != plan->machines.end() && !current->spot && current->usable &&
+        current->tail_job == spec.id) {
+      continue;
+    }
     --room;
     tail.execution->moved_tasks.insert(task.attempt.task);
     task.state->moved_for_tail = true;
--- a/src/core/scheduler/transfer.cc
+++ b/src/core/scheduler/transfer.cc
@@ -94,7 +94,8 @@
         backlog[static_cast<size_t>(other_id)][0] > 0 ? kBackloggedMachineDelay : kFreeMachineDelay;
     for (const auto& [name, machine] : other.replica.assignments.machines) {
       if (!machine.attempts.empty() || machine.draining || !machine.tail_job.empty()) continue;
-      if (machine.addr.empty() || !plan->MayChange(name)) continue;  // addr.empty(): still booting
+      if (machine.addr.empty() || !plan->MayChange(name))
+        continue;  // still booting, or not in this cycle
       // Skip machines that their leader reports as silent: each transfer would restart the failure
       // detection of a dead machine.
       auto known = machines_.find(name);
--- a/src/core/store/cancellations.h
+++ b/src/core/store/cancellations.h
@@ -43,11 +43,11 @@
   // Whether a peer reported the cancellation and the replica lacks it.
   bool IsReported(const std::string& job) const { return reported_.count(job) != 0; }
 
-  // Adds to a heartbeat the cancellations above the revision `seen` of the receiver's replica, and
-  // the revision above which they are complete.
+  // Adds to a heartbeat the cancellations above the revision `replica_revision` of the receiver's
+  // replica, and the revision above which they are complete.
   void FillHeartbeat(uint64_t replica_revision, mesh::Heartbeat* heartbeat) const;
 
-  // Records a ping sent at `now` that named `seen` as this replica's revision.
+  // Records a ping sent at `now` that named `replica_revision` as this replica's revision.
   void PingSent(const std::string& peer, uint64_t ping, Micros now, uint64_t replica_revision);
   // Handles the pong, whose cancellations have been added already.
   void PongReceived(const std::string& peer, const mesh::Heartbeat& pong);
@@ -64,8 +64,8 @@
   bool MayRenewLeases(Micros now) const { return now < RenewalBound(now); }
 
   static constexpr size_t kMaxCommitted = 4000;  // cancellations kept from the replica
-  static constexpr size_t kMaxInMessage =
-      4000;  // cancellations per message, above which reported ones are omitted
+  // Cancellations per message, above which reported ones are omitted.
+  static constexpr size_t kMaxInMessage = 4000;
   static constexpr size_t kMaxPings = 64;  // in flight to one peer
   static constexpr Micros kRenewMargin = 1500 * kMillisecond;
 
--- a/src/runtime/outbox_dispatcher.cc
+++ b/src/runtime/outbox_dispatcher.cc
@@ -33,7 +33,7 @@
     case Dest::kState:
     case Dest::kWatch: client_.Send(settings_.state, kStatePool, call); break;
     case Dest::kCloud: client_.Send(settings_.cloud, kCloudPool, call); break;
-    case Dest::kWorker: SendToWorker(call); break;
+    case Dest::kAgent: SendToWorker(call); break;
   }
 }
 
--- a/tests/api_fakes.h
+++ b/tests/api_fakes.h
@@ -1,5 +1,4 @@
-// Small fakes of the interfaces that src/core/api defines, and a controller of them, for the unit
-// tests of that module.
+// Fakes of the interfaces of src/core/api for its unit tests.
 #ifndef TROUTLINK_TESTS_API_FAKES_H_
 #define TROUTLINK_TESTS_API_FAKES_H_
 
@@ -30,7 +29,7 @@
 
 namespace troutlink::test {
 
-// Jobs by id, as the replica would hold them.
+// Jobs by id, as in the replica.
 class FakeJobs : public JobDirectory {
  public:
   const JobEntry* FindJob(const std::string& id) const override {
@@ -74,7 +73,7 @@
   TaskCounts counts;
 };
 
-// A controller that lacks nothing, until a test takes something away.
+// A healthy controller; tests change single properties.
 class FakeStatus : public ClusterStatus {
  public:
   bool ReplicaSynced() const override { return synced; }
@@ -119,7 +118,7 @@
   bool has_copy = false;
 };
 
-// Shards, each with machines of one type, and jobs that wait in them.
+// Shards with machines of one type, and their pending jobs.
 class FakeLoads : public ShardLoads {
  public:
   struct Machine {
@@ -183,7 +182,7 @@
   return type;
 }
 
-// Answers of the state service to a commit.
+// Answers of the key-value store to a commit.
 inline std::string Committed(uint64_t revision) {
   return wire::Pack(wire::Json{{"ledger", revision}});
 }
@@ -192,12 +191,12 @@
 }
 
 // Matches the reply to that request.
-inline auto Answered(uint64_t request, int status) {
+inline auto Response(uint64_t request, int status) {
   return ::testing::AllOf(::testing::Field(&Reply::id, request),
                           ::testing::Field(&Reply::status, status));
 }
 
-// What the module gets from the controller.
+// Services of the controller for the module.
 struct Controller {
   Controller() {
     status.types = {LargeType()};
@@ -205,7 +204,7 @@
     settings.zones = {"z1"};
     settings.next_state_limits = status.limits;
   }
-  // The state service answers the only call that is open.
+  // Answers the only open call.
   void StateAnswers(Micros now, int http_status, const std::string& body) {
     const Outbox outbox = effects.TakeOutbox();
     ASSERT_THAT(outbox.calls, ::testing::SizeIs(1));
@@ -223,7 +222,7 @@
   ApiCounters counters;
 };
 
-// Polls and cancellations at such a controller.
+// Polls and cancellations on such a controller.
 struct Queries : Controller {
   JobRecordStore records{&effects, &write_budget, &state_budget, &jobs, &status, &counters};
   JobQueries queries{15 * kSecond, &effects, &state_budget,  &jobs,
--- a/tests/api_submissions_units_test.cc
+++ b/tests/api_submissions_units_test.cc
@@ -1,5 +1,4 @@
-// Admission, submission and the choice of a shard (src/core/api), each by itself among fakes of
-// what it needs.
+// Unit tests of admission, submission and the choice of a shard (src/core/api).
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -17,7 +16,6 @@
 namespace troutlink {
 namespace {
 
-using test::Answered;
 using test::Committed;
 using test::Conflict;
 using test::Controller;
@@ -25,6 +23,7 @@
 using test::kNow;
 using test::LargeType;
 using test::Queries;
+using test::Response;
 using ::testing::ElementsAre;
 using ::testing::HasSubstr;
 using ::testing::IsEmpty;
@@ -43,37 +42,37 @@
   void Submit(const JobSpec& spec) {
     submissions.Submit(kNow, {1, "POST", "/api/jobs", wire::EncodeSubmission(spec)});
   }
-  // The only answer has this status and tells this.
+  // The only reply has this status and contains this text.
   void ExpectRefused(int http_status, const std::string& why) {
-    ASSERT_THAT(responder.replies, ElementsAre(Answered(1, http_status)));
+    ASSERT_THAT(responder.replies, ElementsAre(Response(1, http_status)));
     EXPECT_THAT(responder.replies[0].body, HasSubstr(why));
   }
 };
 
-TEST(JobSubmissions, AJobIsAcceptedOnceItsRecordIsCommitted) {
+TEST(JobSubmissions, JobIsAcceptedOnceItsRecordIsCommitted) {
   Submissions s;
   s.Submit(Job("job-1"));
   EXPECT_THAT(s.responder.replies, IsEmpty());
   s.StateAnswers(kNow, 200, Committed(5));
-  EXPECT_THAT(s.responder.replies, ElementsAre(Answered(1, 201)));
+  EXPECT_THAT(s.responder.replies, ElementsAre(Response(1, 201)));
   EXPECT_NE(s.jobs.FindJob("job-1"), nullptr);
   EXPECT_EQ(s.counters.accepted, 1u);
-  EXPECT_EQ(s.backlog.Cpus()[0][0], 8000);  // the next one of a burst sees it
+  EXPECT_EQ(s.backlog.Cpus()[0][0], 8000);  // the next job of a burst sees it
 }
 
-TEST(JobSubmissions, AConflictIsAnsweredLikeAPoll) {
+TEST(JobSubmissions, ConflictIsAnsweredLikeAPoll) {
   Submissions s;
   s.Submit(Job("job-1"));
   s.StateAnswers(kNow, 409, Conflict("job-1"));
   EXPECT_THAT(s.responder.replies, IsEmpty());
-  s.effects.TakeOutbox();  // the read of the record
+  s.effects.TakeOutbox();  // reads the record
   s.jobs.Put(Job("job-1"), JobState::kOpen, 4);
   s.queries.CheckQueued(kNow);
   s.StateAnswers(kNow, 200, Committed(9));
-  EXPECT_THAT(s.responder.replies, ElementsAre(Answered(1, 200)));
+  EXPECT_THAT(s.responder.replies, ElementsAre(Response(1, 200)));
 }
 
-TEST(JobSubmissions, ARecordThatMayNotBeStoredIsNotAccepted) {
+TEST(JobSubmissions, JobIsNotAcceptedIfItsRecordMayNotBeStored) {
   Submissions s;
   s.Submit(Job("job-1"));
   s.StateAnswers(kNow, kNoAnswer, "");
@@ -81,7 +80,7 @@
   EXPECT_EQ(s.counters.refused, 1u);
 }
 
-TEST(JobSubmissions, AnUnknownDependencyIsLookedUpInTheStateService) {
+TEST(JobSubmissions, UnknownDependencyIsReadFromTheStore) {
   Submissions s;
   JobSpec spec = Job("job-2");
   spec.dependencies = {"job-1"};
@@ -95,10 +94,10 @@
                                               {"stamp", 4},
                                               {"v", *wire::Unpack(EncodeJob(before))}}})}}));
   s.StateAnswers(kNow, 200, Committed(5));
-  EXPECT_THAT(s.responder.replies, ElementsAre(Answered(1, 201)));
+  EXPECT_THAT(s.responder.replies, ElementsAre(Response(1, 201)));
 }
 
-TEST(JobSubmissions, ADependencyThatNobodyKnowsWasNeverAccepted) {
+TEST(JobSubmissions, DependencyMissingFromTheStoreIsRefused) {
   Submissions s;
   JobSpec spec = Job("job-2");
   spec.dependencies = {"job-1"};
@@ -108,21 +107,21 @@
   EXPECT_EQ(s.counters.refused, 0u);
 }
 
-TEST(JobSubmissions, AJobAfterACancelledOneIsAcceptedAsCancelled) {
+TEST(JobSubmissions, JobWithACancelledDependencyIsAcceptedAsCancelled) {
   Submissions s;
   s.jobs.Put(Job("job-1"), JobState::kCancelled, 3);
   JobSpec spec = Job("job-2");
   spec.dependencies = {"job-1"};
   s.Submit(spec);
   s.StateAnswers(kNow, 200, Committed(5));
-  EXPECT_THAT(s.responder.replies, ElementsAre(Answered(1, 201)));
+  EXPECT_THAT(s.responder.replies, ElementsAre(Response(1, 201)));
   EXPECT_EQ(s.jobs.FindJob("job-2")->record.state, JobState::kCancelled);
 }
 
-TEST(JobSubmissions, ABodyThatIsNoJobIsMalformed) {
+TEST(JobSubmissions, MalformedBodyIsRefused) {
   Submissions s;
   s.submissions.Submit(kNow, {1, "POST", "/api/jobs", "?"});
-  EXPECT_THAT(s.responder.replies, ElementsAre(Answered(1, 400)));
+  EXPECT_THAT(s.responder.replies, ElementsAre(Response(1, 400)));
 }
 
 // --- admission ---------------------------------------------------------------------
@@ -137,7 +136,7 @@
   }
 };
 
-TEST(JobAdmission, AJobThatCanNeverRunIsRefusedForGood) {
+TEST(JobAdmission, InfeasibleJobIsRefusedPermanently) {
   Admission a;
   EXPECT_EQ(a.FaultOf(Job("job-1")), std::nullopt);
   JobSpec alien = Job("job-1");
@@ -150,25 +149,25 @@
   elsewhere.zone = "z2";
   EXPECT_EQ(a.FaultOf(elsewhere), AdmissionFault::kFitsNoMachine);
   a.settings.teams[0].cpus_max = 7000;
-  EXPECT_EQ(a.FaultOf(Job("job-1")), std::nullopt);  // an array runs task by task
+  EXPECT_EQ(a.FaultOf(Job("job-1")), std::nullopt);  // an array needs room for one task
   EXPECT_EQ(a.FaultOf(Job("job-1", JobKind::kService)), AdmissionFault::kAboveTeamLimit);
   EXPECT_FALSE(IsTemporary(AdmissionFault::kAboveTeamLimit));
 }
 
-TEST(JobAdmission, AJobIsPutOffWhileTheControllerIsInTrouble) {
+TEST(JobAdmission, JobIsRefusedTemporarilyWhileTheControllerIsNotReady) {
   Admission a;
   a.status.state_fresh = false;
   EXPECT_EQ(a.FaultOf(Job("job-1")), AdmissionFault::kNotReady);
   JobSpec alien = Job("job-1");
   alien.team = "red";
-  EXPECT_EQ(a.FaultOf(alien), AdmissionFault::kUnknownTeam);  // also in trouble
+  EXPECT_EQ(a.FaultOf(alien), AdmissionFault::kUnknownTeam);  // also while not ready
   a.status.state_fresh = true;
   a.write_budget.Force(kNow, 151);
   EXPECT_EQ(a.FaultOf(Job("job-1")), AdmissionFault::kTooManySubmissions);
   EXPECT_TRUE(IsTemporary(AdmissionFault::kTooManySubmissions));
 }
 
-TEST(JobAdmission, DependenciesNeedControllersThatKnowThem) {
+TEST(JobAdmission, DependenciesRequireAllControllersToSupportThem) {
   Admission a;
   a.status.all_current = false;
   JobSpec spec = Job("job-2");
@@ -177,7 +176,7 @@
   EXPECT_EQ(a.FaultOf(spec), AdmissionFault::kMixedVersions);
 }
 
-TEST(JobAdmission, NoJobDependsOnAService) {
+TEST(JobAdmission, DependencyOnAServiceIsRefused) {
   Admission a;
   a.jobs.Put(Job("job-1", JobKind::kService), JobState::kOpen, 3);
   JobSpec spec = Job("job-2");
@@ -207,7 +206,7 @@
   ShardSelector selector{&loads, &backlog};
 };
 
-TEST(ShardBacklog, CountsWhatWaitsForWorkOfAtLeastEachPriority) {
+TEST(ShardBacklog, CountsPendingWorkOfAtLeastEachPriority) {
   Shards s(2);
   JobSpec normal = Job("job-1");
   s.loads.waiting = {{1, normal, 3}};
@@ -220,7 +219,7 @@
   EXPECT_EQ(at(0, Priority::kLow), 0);
 }
 
-TEST(ShardBacklog, IsCountedAnewAfterFortyMilliseconds) {
+TEST(ShardBacklog, IsRecomputedAfterFortyMilliseconds) {
   Shards s(1);
   EXPECT_EQ(s.backlog.Cpus()[0][0], 0);
   s.loads.waiting = {{0, Job("job-1"), 1}};
@@ -230,7 +229,7 @@
   EXPECT_EQ(s.backlog.Cpus()[0][0], 4000);
 }
 
-TEST(ShardSelector, AJobGoesWhereMostIsFree) {
+TEST(ShardSelector, SelectsTheShardWithMostFreeCpus) {
   Shards s(2);
   s.AddMachine(0, "a")->used_by_priority[static_cast<size_t>(Priority::kNormal)] = {16000, 0, 0};
   s.AddMachine(1, "b");
@@ -242,7 +241,7 @@
   EXPECT_EQ(s.selector.SelectFor(Job("job-1")), 1);
 }
 
-TEST(ShardSelector, WhatWaitsAlreadyComesFirst) {
+TEST(ShardSelector, SubtractsTheBacklog) {
   Shards s(2);
   s.AddMachine(0, "a");
   s.AddMachine(1, "b");
@@ -251,7 +250,7 @@
   EXPECT_EQ(s.selector.SelectFor(Job("job-1")), 1);
 }
 
-TEST(ShardSelector, CriticalWorkCountsWhatItMayPushAside) {
+TEST(ShardSelector, CountsPreemptibleCapacityForProductionWork) {
   Shards s(1);
   s.AddMachine(0, "a")->used_by_priority[static_cast<size_t>(Priority::kLow)] = {16000, 0, 0};
   JobSpec critical = Job("job-1", JobKind::kService);
@@ -260,7 +259,7 @@
   EXPECT_EQ(s.selector.CapacitiesFor(critical)[0].placeable_tasks, 2);
 }
 
-TEST(ShardSelector, AServiceGoesWhereItsImageIs) {
+TEST(ShardSelector, PrefersTheShardThatCachesTheServicesImage) {
   Shards s(2);
   s.AddMachine(0, "a");
   s.AddMachine(1, "b");
@@ -272,7 +271,7 @@
   EXPECT_EQ(s.selector.SelectFor(service), 0);
 }
 
-TEST(ShardSelector, AShardWithoutALeaderIsTheLastChoice) {
+TEST(ShardSelector, AvoidsShardsWithoutALeader) {
   Shards s(2);
   s.AddMachine(0, "a");
   s.loads.leaderless = {0};
--- a/tests/api_units_test.cc
+++ b/tests/api_units_test.cc
@@ -1,5 +1,4 @@
-// Requests, polls and cancellations (src/core/api), each class by itself among fakes of what it
-// needs.
+// Unit tests of requests, polls and cancellations (src/core/api).
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -27,19 +26,19 @@
 using ::testing::SizeIs;
 using wire::Json;
 
-using test::Answered;
 using test::Committed;
 using test::Conflict;
 using test::Controller;
 using test::Job;
 using test::kNow;
 using test::Queries;
+using test::Response;
 
 constexpr uint64_t kFirstForward = 1000000;
 
 // --- outcomes of commits -----------------------------------------------------
 
-TEST(CommitOutcomes, OnlyAReadableAnswerCommits) {
+TEST(CommitOutcomes, OnlyAReadableAnswerIsCommitted) {
   const CommitOutcome outcome = DecodeCommitOutcome(200, Committed(7));
   EXPECT_EQ(outcome.kind, CommitOutcome::Kind::kCommitted);
   EXPECT_EQ(outcome.revision, 7u);
@@ -49,7 +48,7 @@
   EXPECT_EQ(DecodeCommitOutcome(429, "").kind, CommitOutcome::Kind::kRateLimited);
 }
 
-TEST(CommitOutcomes, AConflictIsCertainWithoutItsKeys) {
+TEST(CommitOutcomes, ConflictIsDefiniteWithoutItsKeys) {
   const CommitOutcome named = DecodeCommitOutcome(409, Conflict("job-1"));
   EXPECT_EQ(named.kind, CommitOutcome::Kind::kConflict);
   EXPECT_TRUE(named.readable);
@@ -65,7 +64,7 @@
   JobRecordStore store{&effects, &write_budget, &state_budget, &jobs, &status, &counters};
 };
 
-TEST(JobRecordStore, AppliesWhatItCommittedBeforeItTells) {
+TEST(JobRecordStore, AppliesACommitBeforeCallingBack) {
   Records r;
   JobRecord record;
   record.spec = Job("job-1");
@@ -81,7 +80,7 @@
   EXPECT_EQ(r.counters.record_writes, 1u);
 }
 
-TEST(JobRecordStore, AWriteThatIsRefusedForItsRateEmptiesTheBudget) {
+TEST(JobRecordStore, RateLimitedWriteDrainsTheBudget) {
   Records r;
   r.store.Write(kNow, "job-1", 0, EncodeJob({}), [](Micros, const CommitOutcome&) {});
   r.StateAnswers(kNow, 429, "");
@@ -89,15 +88,15 @@
   EXPECT_EQ(r.status.state_answered, 0);
 }
 
-TEST(JobRecordStore, ReadsAgainOnlyWithRequestsToSpare) {
+TEST(JobRecordStore, RefreshRequiresSpareRequests) {
   Records r;
   r.state_budget.Drain(kNow);
   r.store.Refresh(kNow, "job-1");
   EXPECT_THAT(r.effects.TakeOutbox().calls, IsEmpty());
-  bool told = false;
-  r.store.Read("job-1", [&](Micros, bool read) { told = !read; });
+  bool answered_at = false;
+  r.store.Read("job-1", [&](Micros, bool read) { answered_at = !read; });
   r.StateAnswers(kNow, kNoAnswer, "");
-  EXPECT_TRUE(told);
+  EXPECT_TRUE(answered_at);
 }
 
 // --- forwarding ----------------------------------------------------------------
@@ -107,7 +106,7 @@
   const Request poll{1, "GET", "/api/jobs/job-1", ""};
   const Request cancel{2, "POST", "/api/jobs/job-1/abort", ""};
 
-  // The only forward that was sent since the last time.
+  // The only forward since the last call.
   mesh::ForwardedRequest Sent() {
     const Outbox outbox = effects.TakeOutbox();
     EXPECT_THAT(outbox.peers, SizeIs(1));
@@ -117,7 +116,7 @@
   std::vector<Reply> Replies() { return effects.TakeOutbox().replies; }
 };
 
-TEST(RequestForwarder, ARequestThatWaitsIsForwardedOnce) {
+TEST(RequestForwarder, WaitingRequestIsForwardedOnce) {
   Forwarding f;
   f.forwarder.Register(kNow, f.poll, false);
   f.forwarder.Tick(kNow + 100 * kMillisecond);
@@ -133,39 +132,39 @@
   EXPECT_EQ(f.counters.forwards, 1u);
 }
 
-TEST(RequestForwarder, TheFirstGoodAnswerCounts) {
+TEST(RequestForwarder, FirstDefiniteAnswerCounts) {
   Forwarding f;
   f.forwarder.Register(kNow, f.poll, true);
   const uint64_t id = f.Sent().id;
   f.forwarder.Answer(1, 503, "own", 1);
-  EXPECT_THAT(f.Replies(), IsEmpty());  // the peer is still at work on it
+  EXPECT_THAT(f.Replies(), IsEmpty());  // in progress at the peer
   f.forwarder.HandleReply(kNow, {id, 200, 0, "peer's"});
-  EXPECT_THAT(f.Replies(), ElementsAre(AllOf(Answered(1, 200), Field(&Reply::body, "peer's"))));
+  EXPECT_THAT(f.Replies(), ElementsAre(AllOf(Response(1, 200), Field(&Reply::body, "peer's"))));
   f.forwarder.HandleReply(kNow, {id, 200, 0, "again"});
   EXPECT_THAT(f.Replies(), IsEmpty());
 }
 
-TEST(RequestForwarder, WhenBothRefuseOurOwnRefusalIsTold) {
+TEST(RequestForwarder, OwnRefusalIsSentIfThePeerRefusesToo) {
   Forwarding f;
   f.forwarder.Register(kNow, f.poll, true);
   const uint64_t id = f.Sent().id;
   f.forwarder.Answer(1, 429, "own", 3);
   f.forwarder.HandleReply(kNow, {id, 503, 1, "peer's"});
-  EXPECT_THAT(f.Replies(), ElementsAre(AllOf(Answered(1, 429), Field(&Reply::body, "own"),
+  EXPECT_THAT(f.Replies(), ElementsAre(AllOf(Response(1, 429), Field(&Reply::body, "own"),
                                              Field(&Reply::retry_after_s, 3))));
 }
 
-TEST(RequestForwarder, ACancellationIsNotAnsweredUnknownWhileAPeerHasACopy) {
+TEST(RequestForwarder, CancellationIsNotAnsweredNotFoundWhileAPeerHasACopy) {
   Forwarding f;
   f.forwarder.Register(kNow, f.cancel, true);
   f.Sent();
   f.forwarder.Answer(2, 404, "no such job");
   EXPECT_THAT(f.Replies(), IsEmpty());
   f.forwarder.Tick(kNow + 2 * kSecond + 1);
-  EXPECT_THAT(f.Replies(), ElementsAre(Answered(2, 503)));
+  EXPECT_THAT(f.Replies(), ElementsAre(Response(2, 503)));
 }
 
-TEST(RequestForwarder, ACancellationThatAPeerTellsIsLearnt) {
+TEST(RequestForwarder, CancellationInAPeersAnswerIsRecorded) {
   Forwarding f;
   f.forwarder.Register(kNow, f.cancel, true);
   const uint64_t id = f.Sent().id;
@@ -173,17 +172,17 @@
   EXPECT_THAT(f.cancellations.learnt, ElementsAre("job-1"));
 }
 
-TEST(RequestForwarder, ARequestThatNobodyAnswersEnds) {
+TEST(RequestForwarder, UnansweredRequestTimesOut) {
   Forwarding f;
   f.status.fresh_peer.clear();
   f.forwarder.Register(kNow, f.poll, true);
   f.forwarder.Tick(kNow + 10 * kSecond);
   EXPECT_THAT(f.Replies(), IsEmpty());
   f.forwarder.Tick(kNow + 10 * kSecond + 1);
-  EXPECT_THAT(f.Replies(), ElementsAre(Answered(1, 503)));
+  EXPECT_THAT(f.Replies(), ElementsAre(Response(1, 503)));
 }
 
-TEST(RequestForwarder, AJobWithDependenciesStaysFromPeersOfOlderVersions) {
+TEST(RequestForwarder, JobWithDependenciesIsNotForwardedToOlderVersions) {
   Forwarding f;
   f.status.all_current = false;
   JobSpec spec = Job("job-2");
@@ -195,7 +194,7 @@
   EXPECT_THAT(f.effects.TakeOutbox().peers, SizeIs(1));
 }
 
-TEST(RequestForwarder, TheAnswerToAPeersRequestGoesBackToThatPeer) {
+TEST(RequestForwarder, AnswerToAForwardedRequestGoesToThePeer) {
   Forwarding f;
   const std::optional<Request> request =
       f.forwarder.Accept("north", {77, "GET", "/api/jobs/job-1", ""});
@@ -210,7 +209,7 @@
             (mesh::ForwardedResponse{77, 200, 0, "body"}));
 }
 
-TEST(RequestForwarder, TakesAThousandRequestsOfPeersAtOnce) {
+TEST(RequestForwarder, AcceptsAtMostAThousandForwardedRequests) {
   Forwarding f;
   for (int i = 0; i < 1000; ++i) {
     ASSERT_TRUE(f.forwarder.Accept("north", {77, "GET", "/api/jobs/job-1", ""}));
@@ -220,18 +219,18 @@
 
 // --- polls and cancellations -----------------------------------------------------
 
-TEST(JobQueries, AFinishedJobIsAnsweredAtOnce) {
+TEST(JobQueries, FinishedJobIsAnsweredAtOnce) {
   Queries q;
   q.jobs.Put(Job("job-1"), JobState::kDone, 3);
   q.Poll("job-1");
-  ASSERT_THAT(q.responder.replies, ElementsAre(Answered(1, 200)));
+  ASSERT_THAT(q.responder.replies, ElementsAre(Response(1, 200)));
   const auto status = wire::DecodeJobStatus(q.responder.replies[0].body);
   ASSERT_TRUE(status.has_value());
   EXPECT_EQ(status->state, JobPhase::kDone);
   EXPECT_EQ(status->done, 2);
 }
 
-TEST(JobQueries, AnOpenJobIsAnsweredOnceTheStateServiceConfirmsItsRecord) {
+TEST(JobQueries, OpenJobIsAnsweredOnceTheStoreConfirmsItsRecord) {
   Queries q;
   q.jobs.Put(Job("job-1"), JobState::kOpen, 3);
   q.jobs.counts = {1, 1};
@@ -240,11 +239,11 @@
   EXPECT_THAT(q.responder.replies, IsEmpty());
   q.queries.CheckQueued(kNow);
   q.StateAnswers(kNow, 200, Committed(9));
-  EXPECT_THAT(q.responder.replies, ElementsAre(Answered(1, 200), Answered(2, 404)));
+  EXPECT_THAT(q.responder.replies, ElementsAre(Response(1, 200), Response(2, 404)));
   EXPECT_EQ(wire::DecodeJobStatus(q.responder.replies[0].body)->state, JobPhase::kRunning);
 }
 
-TEST(JobQueries, AnOldRecordIsReadAgainAndCheckedAnew) {
+TEST(JobQueries, StaleRecordIsReadAgainAndChecked) {
   Queries q;
   q.jobs.Put(Job("job-1"), JobState::kOpen, 3);
   q.Poll("job-1");
@@ -258,7 +257,7 @@
   EXPECT_THAT(q.effects.TakeOutbox().calls, SizeIs(1));
 }
 
-TEST(JobQueries, ChecksLeaveRequestsToTheRest) {
+TEST(JobQueries, ChecksLeaveRequestsToOtherCalls) {
   Queries q;
   q.jobs.Put(Job("job-1"), JobState::kOpen, 3);
   q.Poll("job-1");
@@ -266,10 +265,10 @@
   q.queries.CheckQueued(kNow);
   EXPECT_THAT(q.effects.TakeOutbox().calls, IsEmpty());
   q.queries.CheckQueued(kNow + 1500 * kMillisecond + 1);
-  EXPECT_THAT(q.responder.replies, ElementsAre(Answered(1, 503)));
+  EXPECT_THAT(q.responder.replies, ElementsAre(Response(1, 503)));
 }
 
-TEST(JobQueries, WhatRestsOnJobsBeforeItNeedsACurrentReplica) {
+TEST(JobQueries, AnswersThatDependOnDependenciesRequireACurrentReplica) {
   Queries q;
   JobSpec spec = Job("job-2");
   spec.dependencies = {"job-1"};
@@ -278,11 +277,11 @@
   q.Poll("job-2");
   q.queries.CheckQueued(kNow);
   q.StateAnswers(kNow, 200, Committed(9));
-  EXPECT_THAT(q.responder.replies, ElementsAre(Answered(1, 503)));
+  EXPECT_THAT(q.responder.replies, ElementsAre(Response(1, 503)));
   EXPECT_EQ(q.queries.refusals().Of(Refusal::kReplicaStale), 1u);
 }
 
-TEST(JobQueries, ACancellationIsToldOnceItIsStoredAndOnItsWayToPeers) {
+TEST(JobQueries, CancellationIsAnsweredOnceItIsStoredAndSentToPeers) {
   Queries q;
   q.jobs.Put(Job("job-1"), JobState::kOpen, 3);
   q.Cancel("job-1");
@@ -290,32 +289,32 @@
   q.StateAnswers(kNow, 200, Committed(9));
   EXPECT_EQ(q.jobs.FindJob("job-1")->record.state, JobState::kCancelled);
   EXPECT_EQ(q.cancellations.hastened, 1);
-  EXPECT_THAT(q.responder.replies, ElementsAre(Answered(1, 200)));
+  EXPECT_THAT(q.responder.replies, ElementsAre(Response(1, 200)));
 }
 
-TEST(JobQueries, ACancellationOfAnUnknownJobMustNotHitALaterOne) {
+TEST(JobQueries, CancellationOfAnUnknownJobDoesNotCancelALaterOne) {
   Queries q;
   q.Cancel("job-1");
   q.queries.CheckQueued(kNow);
   q.jobs.Put(Job("job-1"), JobState::kOpen, 3);  // submitted meanwhile
   q.responder.has_copy = true;
   q.StateAnswers(kNow, 200, Committed(9));
-  EXPECT_THAT(q.responder.replies, ElementsAre(Answered(1, 503)));
+  EXPECT_THAT(q.responder.replies, ElementsAre(Response(1, 503)));
   EXPECT_EQ(q.jobs.FindJob("job-1")->record.state, JobState::kOpen);
 }
 
-TEST(JobQueries, ACancellationIsGivenUpAfterFourConflicts) {
+TEST(JobQueries, CancellationFailsAfterFourConflicts) {
   Queries q;
   q.jobs.Put(Job("job-1"), JobState::kOpen, 3);
   q.Cancel("job-1");
   for (int attempt = 1; attempt <= 4; ++attempt) {
     ASSERT_THAT(q.responder.replies, IsEmpty()) << attempt;
     q.StateAnswers(kNow, 409, Conflict("job-1"));
-    q.effects.TakeOutbox();  // the read of the record, which finds nothing new
+    q.effects.TakeOutbox();  // reads the record, which is unchanged
     q.queries.CheckQueued(kNow);
     q.StateAnswers(kNow, 200, Committed(9));
   }
-  EXPECT_THAT(q.responder.replies, ElementsAre(Answered(1, 503)));
+  EXPECT_THAT(q.responder.replies, ElementsAre(Response(1, 503)));
 }
 
 }  // namespace
--- a/tests/base_units_test.cc
+++ b/tests/base_units_test.cc
@@ -1,4 +1,4 @@
-// Units of src/base: job ids, hashes, numbers as text, durations and results.
+// Unit tests of src/base: job ids, hashes, text varints, durations and results.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -22,32 +22,32 @@
 using testing::IsEmpty;
 using testing::Le;
 
-TEST(JobIds, ArePrefixAndUpTo32Digits) {
+TEST(JobIds, HaveAPrefixAndUpTo32Digits) {
   EXPECT_TRUE(IsJobId("job-000412"));
   EXPECT_TRUE(IsJobId("job-" + std::string(32, '7')));
 }
 
-TEST(JobIds, OfAnyOtherFormAreRefused) {
+TEST(JobIds, RefuseOtherForms) {
   for (const char* bad : {"", "job-", "job-1x", "Job-1", "job-1/2", "job--1", " job-1", "jo"}) {
     EXPECT_FALSE(IsJobId(bad)) << bad;
   }
   EXPECT_FALSE(IsJobId("job-" + std::string(33, '7')));
 }
 
-// Shards and machines are chosen by it: a changed value would tear a running cluster apart.
-TEST(StableHash, KeepsItsValuesInEveryRelease) {
+// Shards are chosen by the hash: a changed value would break a running cluster.
+TEST(StableHash, HasStableValues) {
   EXPECT_EQ(StableHash(""), 0x8570E250FE4C2473ULL);
   EXPECT_EQ(StableHash("node-1"), 0x3E1BC7F083D68A9EULL);
 }
 
-TEST(StableHash, CountsBytesAboveAsciiAsUnsigned) {
+TEST(StableHash, TreatsBytesAboveAsciiAsUnsigned) {
   EXPECT_EQ(StableHash("\xff"), 0x28FBDD7E7EB5EC33ULL);
 }
 
 constexpr uint64_t kDigitValues[] = {
     0, 1, 31, 32, 1023, 1024, 1ULL << 59, 1ULL << 60, std::numeric_limits<uint64_t>::max()};
 
-TEST(Digits, ReadBackWhatTheyWrote) {
+TEST(Digits, RoundTrip) {
   for (const uint64_t value : kDigitValues) {
     std::string text;
     AppendTextVarint(&text, value);
@@ -59,13 +59,13 @@
   }
 }
 
-TEST(Digits, KeepTheirStoredForm) {
+TEST(Digits, HaveAStableStoredForm) {
   std::string text;
   for (const uint64_t value : {0, 31, 32, 412}) AppendTextVarint(&text, value);
   EXPECT_EQ(text, "AfgB8M");
 }
 
-TEST(Digits, EndWhereTheNextNumberBegins) {
+TEST(Digits, AreSelfDelimiting) {
   std::string text;
   AppendTextVarint(&text, 412);
   std::string_view rest = text.append("tail");
@@ -74,7 +74,7 @@
   EXPECT_EQ(rest, "tail");
 }
 
-TEST(Digits, RefuseTextThatIsNoNumberOf64Bits) {
+TEST(Digits, RefuseInvalidText) {
   std::string largest;
   AppendTextVarint(&largest, std::numeric_limits<uint64_t>::max());
   ASSERT_EQ(largest, "____________P");
@@ -85,7 +85,7 @@
   }
 }
 
-TEST(Digits, OfTextReadBackWhatTheyWrote) {
+TEST(Digits, RoundTripSizedText) {
   std::string out;
   AppendSizedText(&out, "node-1");
   AppendSizedText(&out, "");
@@ -99,20 +99,20 @@
   EXPECT_THAT(rest, IsEmpty());
 }
 
-TEST(Digits, OfTextRefuseALengthPastTheEnd) {
+TEST(Digits, RefuseALengthPastTheEnd) {
   std::string_view rest = "Gnode-";
   std::string text;
   EXPECT_FALSE(ReadSizedText(&rest, &text));
 }
 
-TEST(Micros, AreRoundedFromSeconds) {
+TEST(Micros, RoundFromSeconds) {
   EXPECT_EQ(FromSeconds(1.5), 1500 * kMillisecond);
   EXPECT_EQ(FromSeconds(0.0000006), 1);
   EXPECT_EQ(FromSeconds(-2), -2 * kSecond);
   EXPECT_DOUBLE_EQ(ToSeconds(1500 * kMillisecond), 1.5);
 }
 
-TEST(Micros, OfAnotherClockAreBoundedByTheDrift) {
+TEST(Micros, BoundTheDriftOfAnotherClock) {
   EXPECT_EQ(LongestOnOtherClock(10 * kSecond), 10 * kSecond + 5 * kMillisecond);
   EXPECT_EQ(ShortestOnOtherClock(10 * kSecond), 10 * kSecond - 5 * kMillisecond);
   EXPECT_THAT(Micros{1999}, AllOf(Ge(ShortestOnOtherClock(1999)), Le(LongestOnOtherClock(1999))));
--- a/tests/cancellations_units_test.cc
+++ b/tests/cancellations_units_test.cc
@@ -1,4 +1,4 @@
-// The classes that the core is made of, each by itself.
+// Unit tests of the cancellation log, the session lease and the replica feed.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -29,7 +29,7 @@
   return pong;
 }
 
-TEST(CancellationLog, CarriesWhatIsAboveThePeersRevision) {
+TEST(CancellationLog, ReportsCancellationsAboveThePeersRevision) {
   CancellationLog log(kCancel, kLease);
   log.AddCommitted(5, "a");
   log.AddCommitted(9, "c");
@@ -41,7 +41,7 @@
   EXPECT_EQ(Filled(log, 0).cancellations_complete_above, 0u);
 }
 
-TEST(CancellationLog, IsBoundedAndSaysFromWhereItIsComplete) {
+TEST(CancellationLog, IsBoundedAndReportsWhereItIsComplete) {
   CancellationLog log(kCancel, kLease);
   const uint64_t most = CancellationLog::kMaxCommitted;
   for (uint64_t revision = 1; revision <= most; ++revision) {
@@ -56,26 +56,26 @@
   EXPECT_EQ(heartbeat.cancelled_jobs.front(), "job3");
   EXPECT_EQ(heartbeat.cancelled_jobs.back(), "y");
   EXPECT_EQ(heartbeat.cancellations_complete_above, 2u);  // 1 and 2 were dropped
-  // One that comes late and below the bound is dropped at once, and the bound stays.
+  // A late one below the bound is dropped at once, and the bound stays.
   log.AddCommitted(1, "job1");
   EXPECT_EQ(Filled(log, 0).cancelled_jobs.front(), "job3");
   EXPECT_EQ(Filled(log, 0).cancellations_complete_above, 2u);
 }
 
-TEST(CancellationLog, KeepsReportedCancelsUntilTheReplicaHasThem) {
+TEST(CancellationLog, KeepsReportedCancellationsUntilTheReplicaHasThem) {
   CancellationLog log(kCancel, kLease);
   EXPECT_FALSE(log.IsReported("a"));
   EXPECT_TRUE(log.AddReported("a"));
   EXPECT_FALSE(log.AddReported("a"));
   EXPECT_TRUE(log.IsReported("a"));
-  // A peer's revision does not matter: nobody knows where it was committed.
+  // Reported cancellations have no revision and are sent to all peers.
   EXPECT_EQ(Filled(log, 1000).cancelled_jobs, (std::vector<std::string>{"a"}));
   log.ForgetReported("a");
   EXPECT_FALSE(log.IsReported("a"));
   EXPECT_TRUE(Filled(log, 0).cancelled_jobs.empty());
 }
 
-TEST(CancellationLog, LeavesOutReportedCancelsOfAFullMessageOnly) {
+TEST(CancellationLog, OmitsReportedCancellationsOnlyFromAFullMessage) {
   CancellationLog log(kCancel, kLease);
   for (uint64_t revision = 1; revision <= CancellationLog::kMaxInMessage - 1; ++revision) {
     log.AddCommitted(revision, "job");
@@ -88,16 +88,16 @@
   EXPECT_EQ(Filled(log, 1).cancelled_jobs.back(), "b");
 }
 
-TEST(CancellationLog, RenewsNothingBeforeTheFirstRead) {
+TEST(CancellationLog, RenewsNoLeaseBeforeTheReplicaWasComplete) {
   CancellationLog log(kCancel, kLease);
   EXPECT_FALSE(log.ReplicaWasComplete());
-  EXPECT_FALSE(log.MayRenewLeases(1));  // clocks begin near 0: not a moment after knowing all
+  EXPECT_FALSE(log.MayRenewLeases(1));  // a clock near 0 must not look like a recent read
   log.ReplicaCompleteUpTo(kSecond);
   EXPECT_TRUE(log.ReplicaWasComplete());
   EXPECT_TRUE(log.MayRenewLeases(2 * kSecond));
 }
 
-TEST(CancellationLog, AloneItIsBoundByNobody) {
+TEST(CancellationLog, WithoutPeersTheBoundFollowsTheClock) {
   CancellationLog log(kCancel, kLease);
   log.ReplicaCompleteUpTo(kSecond);
   EXPECT_EQ(log.KnownUpTo(3600 * kSecond), 3600 * kSecond);
@@ -113,12 +113,13 @@
   log.PingSent("b", 1, 20 * kSecond, 7);
   log.PingSent("c", 2, 30 * kSecond, 7);
   log.PongReceived("c", PongTo(2, 7));
-  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 10 * kSecond);  // nothing of b since the replica's time
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond),
+            10 * kSecond);  // nothing known of b since the replica's time
   log.PongReceived("b", PongTo(1, 7));
-  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 20 * kSecond);  // when the ping was sent
-  log.ReplicaCompleteUpTo(25 * kSecond);                  // counts for every peer
+  EXPECT_EQ(log.KnownUpTo(100 * kSecond), 20 * kSecond);  // time of the ping
+  log.ReplicaCompleteUpTo(25 * kSecond);                  // applies to all peers
   EXPECT_EQ(log.KnownUpTo(100 * kSecond), 25 * kSecond);
-  log.ReplicaCompleteUpTo(24 * kSecond);  // an answer out of turn takes nothing back
+  log.ReplicaCompleteUpTo(24 * kSecond);  // late answers do not move it back
   EXPECT_EQ(log.KnownUpTo(100 * kSecond), 25 * kSecond);
   EXPECT_EQ(log.KnownUpTo(22 * kSecond), 22 * kSecond);
 }
@@ -133,24 +134,24 @@
   EXPECT_FALSE(log.MayRenewLeases(end));
 }
 
-TEST(CancellationLog, CountsOnlyPongsThatLeaveNothingOut) {
+TEST(CancellationLog, CountsOnlyCompletePongs) {
   CancellationLog log(kCancel, kLease);
   log.AddPeer("b");
   log.ReplicaCompleteUpTo(kSecond);
   log.PingSent("b", 1, 10 * kSecond, 7);
-  log.PongReceived("b", PongTo(1, 0));  // it has read nothing yet
+  log.PongReceived("b", PongTo(1, 0));  // the peer has read nothing yet
   EXPECT_EQ(log.KnownUpTo(100 * kSecond), kSecond);
   log.PongReceived("b", PongTo(1, 7));  // a second pong to the same ping
   EXPECT_EQ(log.KnownUpTo(100 * kSecond), kSecond);
   log.PingSent("b", 2, 11 * kSecond, 7);
-  log.PongReceived("b", PongTo(2, 20, 8));  // dropped some above what we hold
+  log.PongReceived("b", PongTo(2, 20, 8));  // dropped some above this replica's revision
   EXPECT_EQ(log.KnownUpTo(100 * kSecond), kSecond);
   log.PingSent("b", 3, 12 * kSecond, 8);
   log.PongReceived("b", PongTo(3, 20, 8));
   EXPECT_EQ(log.KnownUpTo(100 * kSecond), 12 * kSecond);
 }
 
-TEST(CancellationLog, PongsOutOfTurnAndToForgottenPingsCountForNothing) {
+TEST(CancellationLog, IgnoresPongsOutOfOrderAndToForgottenPings) {
   CancellationLog log(kCancel, kLease);
   log.AddPeer("b");
   log.ReplicaCompleteUpTo(kSecond);
@@ -160,7 +161,7 @@
   EXPECT_EQ(log.KnownUpTo(100 * kSecond), 11 * kSecond);
   log.PongReceived("b", PongTo(1, 7));
   EXPECT_EQ(log.KnownUpTo(100 * kSecond), 11 * kSecond);
-  // More pings in flight than are kept: the oldest is forgotten.
+  // More pings in flight than are kept: the oldest is dropped.
   for (uint64_t ping = 10; ping <= 10 + CancellationLog::kMaxPings; ++ping) {
     log.PingSent("b", ping, (10 + static_cast<Micros>(ping)) * kSecond, 7);
   }
@@ -174,7 +175,7 @@
 
 using Answer = SessionLease::RenewalAnswer;
 
-TEST(SessionLease, IsAskedForUntilItIsGranted) {
+TEST(SessionLease, IsRequestedUntilItIsGranted) {
   SessionLease lease(kLife);
   EXPECT_FALSE(lease.held());
   EXPECT_TRUE(lease.CallDue(kSecond));
@@ -190,7 +191,7 @@
   EXPECT_TRUE(lease.held());
   EXPECT_EQ(lease.id(), 77u);
   EXPECT_FALSE(lease.CallDue(4 * kSecond - 1));
-  EXPECT_TRUE(lease.CallDue(4 * kSecond));  // a quarter of its life later
+  EXPECT_TRUE(lease.CallDue(4 * kSecond));  // after a quarter of the TTL
 }
 
 TEST(SessionLease, IsRenewedAndRetriedAfterAFailure) {
@@ -206,13 +207,13 @@
     lease.OnCallSent();
     EXPECT_EQ(lease.RenewalAnswered(5 * kSecond, 77, Answer::kUnknown),
               SessionLease::Renewal::kFailed);
-    EXPECT_TRUE(lease.held());  // nobody said that it ended
+    EXPECT_TRUE(lease.held());  // no answer is no expiry
     EXPECT_FALSE(lease.CallDue(5 * kSecond + 250 * kMillisecond - 1));
     EXPECT_TRUE(lease.CallDue(5 * kSecond + 250 * kMillisecond));
   }
 }
 
-TEST(SessionLease, EndsWhenTheStateServiceDoesNotKnowIt) {
+TEST(SessionLease, EndsWhenTheStoreDoesNotKnowIt) {
   SessionLease lease(kLife);
   lease.OnCallSent();
   lease.GrantAnswered(kSecond, 77);
@@ -220,10 +221,10 @@
   EXPECT_EQ(lease.RenewalAnswered(6 * kSecond, 77, Answer::kNoSuchLease),
             SessionLease::Renewal::kEnded);
   EXPECT_FALSE(lease.held());
-  EXPECT_TRUE(lease.CallDue(6 * kSecond));  // a new one is asked for at once
+  EXPECT_TRUE(lease.CallDue(6 * kSecond));  // requests a new one at once
 }
 
-TEST(SessionLease, TakesNoAnswerOfADroppedLease) {
+TEST(SessionLease, IgnoresAnswersForADroppedLease) {
   SessionLease lease(kLife);
   lease.OnCallSent();
   lease.GrantAnswered(kSecond, 77);
@@ -238,7 +239,7 @@
 
 using Step = ReplicaFeed::Step;
 
-// A feed that read the list of revision 5, sent at 1 s, and watches.
+// A feed that has read a list at revision 5, sent at 1 s, and watches.
 ReplicaFeed Watching() {
   ReplicaFeed feed;
   feed.ListStarted(kSecond);
@@ -255,31 +256,31 @@
   feed.ListStarted(kSecond);
   EXPECT_EQ(feed.NextStep(60 * kSecond), Step::kWait);  // one call at a time
   feed.ListPageRead(5);
-  feed.ListPageRead(9);  // what changed since the first page comes by the watch
+  feed.ListPageRead(9);  // later changes arrive by the watch
   EXPECT_EQ(feed.list_revision(), 5u);
   EXPECT_FALSE(feed.synced());
   EXPECT_EQ(feed.complete_up_to(), 0);
   feed.ListFinished(2 * kSecond);
   EXPECT_TRUE(feed.synced());
   EXPECT_EQ(feed.revision(), 5u);
-  EXPECT_EQ(feed.complete_up_to(), kSecond);  // when it was sent
+  EXPECT_EQ(feed.complete_up_to(), kSecond);  // time at which it was sent
   EXPECT_EQ(feed.NextStep(2 * kSecond), Step::kWatch);
   feed.WatchStarted();
   EXPECT_EQ(feed.NextStep(60 * kSecond), Step::kWait);
 }
 
-TEST(ReplicaFeed, TheWatchOfAnEmptyStoreBeginsBeforeItsFirstChange) {
+TEST(ReplicaFeed, WatchOfAnEmptyStoreStartsBeforeItsFirstChange) {
   ReplicaFeed feed;
   feed.ListStarted(kSecond);
   feed.ListPageRead(0);
-  feed.ListPageRead(3);  // a later page tells no other beginning
+  feed.ListPageRead(3);  // later pages do not change the start
   EXPECT_EQ(feed.list_revision(), 0u);
   feed.ListFinished(2 * kSecond);
   EXPECT_TRUE(feed.synced());
   EXPECT_EQ(feed.revision(), 0u);
 }
 
-TEST(ReplicaFeed, ListsAgainWhenAskedAndServesMeanwhile) {
+TEST(ReplicaFeed, RelistsOnRequestAndStaysSyncedMeanwhile) {
   ReplicaFeed feed = Watching();
   feed.RequestList();
   EXPECT_TRUE(feed.synced());
@@ -291,7 +292,7 @@
   EXPECT_FALSE(feed.list_requested());
 }
 
-TEST(ReplicaFeed, TriesAFailedListAgainAfterAPause) {
+TEST(ReplicaFeed, RetriesAFailedListAfterADelay) {
   ReplicaFeed feed;
   feed.ListStarted(kSecond);
   feed.ListPageRead(5);
@@ -301,10 +302,10 @@
   EXPECT_EQ(feed.NextStep(2 * kSecond + 300 * kMillisecond - 1), Step::kWait);
   EXPECT_EQ(feed.NextStep(2 * kSecond + 300 * kMillisecond), Step::kList);
   feed.ListStarted(3 * kSecond);
-  EXPECT_EQ(feed.list_revision(), 0u);  // begins anew
+  EXPECT_EQ(feed.list_revision(), 0u);  // starts over
 }
 
-TEST(ReplicaFeed, AWatchBringsItForward) {
+TEST(ReplicaFeed, WatchAdvancesTheRevision) {
   ReplicaFeed feed = Watching();
   feed.WatchAnswered(5 * kSecond, 3 * kSecond, 8);
   EXPECT_EQ(feed.revision(), 8u);
@@ -314,12 +315,12 @@
   EXPECT_EQ(feed.NextStep(5 * kSecond + 40 * kMillisecond - 1), Step::kWait);
   EXPECT_EQ(feed.NextStep(5 * kSecond + 40 * kMillisecond), Step::kWatch);
   feed.WatchStarted();
-  feed.WatchAnswered(6 * kSecond, 2 * kSecond, 7);  // takes nothing back
+  feed.WatchAnswered(6 * kSecond, 2 * kSecond, 7);  // does not move it back
   EXPECT_EQ(feed.revision(), 8u);
   EXPECT_EQ(feed.complete_up_to(), 3 * kSecond);
 }
 
-TEST(ReplicaFeed, WatchesAgainAfterAFailureAndListsAfterALongGap) {
+TEST(ReplicaFeed, RetriesAWatchAndListsAfterALongGap) {
   ReplicaFeed feed = Watching();
   feed.WatchFailed(3 * kSecond);
   EXPECT_TRUE(feed.synced());
@@ -327,15 +328,15 @@
   EXPECT_EQ(feed.NextStep(3 * kSecond + 200 * kMillisecond - 1), Step::kWait);
   EXPECT_EQ(feed.NextStep(3 * kSecond + 200 * kMillisecond), Step::kWatch);
   EXPECT_EQ(feed.NextStep(8 * kSecond), Step::kWatch);     // 6 s after the list ended
-  EXPECT_EQ(feed.NextStep(8 * kSecond + 1), Step::kList);  // and later than that
-  EXPECT_TRUE(feed.synced());                              // what it has is old and good
+  EXPECT_EQ(feed.NextStep(8 * kSecond + 1), Step::kList);  // after a longer gap
+  EXPECT_TRUE(feed.synced());                              // the replica stays usable
 }
 
-TEST(ReplicaFeed, ListsAtOnceWhenTheChangesAreNoLongerThere) {
+TEST(ReplicaFeed, ListsAtOnceWhenTheChangesWereCompacted) {
   ReplicaFeed feed = Watching();
   feed.WatchTooOld(3 * kSecond);
   EXPECT_FALSE(feed.synced());
-  EXPECT_EQ(feed.complete_up_to(), kSecond);  // what was known is known still
+  EXPECT_EQ(feed.complete_up_to(), kSecond);  // unchanged
   EXPECT_EQ(feed.NextStep(3 * kSecond), Step::kList);
 }
 
--- a/tests/core_units_test.cc
+++ b/tests/core_units_test.cc
@@ -1,4 +1,4 @@
-// Units of src/core: formulas, order, placement, limits, budgets and records.
+// Unit tests of src/core: tail sizing, order, placement, quota, budgets and records.
 #include <gtest/gtest.h>
 
 #include "core/agents/failure_tracker.h"
@@ -13,8 +13,8 @@
 namespace troutlink {
 namespace {
 
-TEST(Tail, WorksTheFormulaOnNumbers) {
-  // 100 tasks of 1 cpu and an hour each: 10% of 100 cpu hours.
+TEST(Tail, ComputesCreditRemainingTimeAndCpus) {
+  // 100 tasks of 1 CPU and an hour each: 10% of 100 CPU hours.
   EXPECT_DOUBLE_EQ(TailCredit(0.1, 100, 3600 * kSecond, 1000), 10.0);
   EXPECT_FALSE(TailReached(0.9, 89, 100));
   EXPECT_TRUE(TailReached(0.9, 90, 100));
@@ -28,19 +28,19 @@
   EXPECT_DOUBLE_EQ(TailCpus(0, 3600 * kSecond), 0);
 }
 
-TEST(Tail, HelpersAreWholeMachinesCappedByTheCandidates) {
-  EXPECT_EQ(TailMachineCount(0.13, 3, 8000, 16000), 1);  // rounded up: the exception
+TEST(Tail, MachineCountIsRoundedUpAndCappedByTheCandidates) {
+  EXPECT_EQ(TailMachineCount(0.13, 3, 8000, 16000), 1);  // rounded up to one machine
   EXPECT_EQ(TailMachineCount(100, 3, 8000, 16000), 2);   // no more than the tasks need
   EXPECT_EQ(TailMachineCount(20, 50, 8000, 16000), 2);   // no more than the credit allows
   EXPECT_EQ(TailMachineCount(10, 0, 8000, 16000), 0);
   EXPECT_EQ(TailMachineCount(0, 5, 8000, 16000), 0);
-  EXPECT_EQ(TailMachineCount(10, 5, 32000, 16000), 0);  // would not fit
+  EXPECT_EQ(TailMachineCount(10, 5, 32000, 16000), 0);  // a task would not fit
   EXPECT_TRUE(TailOverdue(21 * kSecond, 10 * kSecond, 2));
   EXPECT_FALSE(TailOverdue(19 * kSecond, 10 * kSecond, 2));
   EXPECT_FALSE(TailOverdue(19 * kSecond, 0, 2));
 }
 
-TEST(FailureTracker, TellsBadMachinesFromBadJobs) {
+TEST(FailureTracker, DistinguishesUnhealthyMachinesFromFailingJobs) {
   FailureTracker machine(2, 3);
   machine.NoteFailure(1, "m", "a");
   EXPECT_FALSE(machine.Unhealthy("m"));
@@ -51,17 +51,17 @@
   for (int i = 0; i < 3; ++i) EXPECT_FALSE(job.Unhealthy("m" + std::to_string(i)));
   EXPECT_GT(job.NextStart("a"), 5 * kSecond);
   EXPECT_EQ(job.NextStart("b"), 0);
-  // Also once it is over.
+  // Also after the job has finished.
   job.ForgetJob("a");
   for (int i = 0; i < 3; ++i) EXPECT_FALSE(job.Unhealthy("m" + std::to_string(i)));
-  // One that was done elsewhere leaves its word behind.
+  // A job that succeeded elsewhere is evidence against the machine, even after it has finished.
   FailureTracker word(2, 3);
   for (int i = 0; i < 2; ++i) word.NoteFailure(kSecond, "m", "a");
   word.NoteStart("n", "a");
   word.NoteSuccess("n", "a");
   word.ForgetJob("a");
   EXPECT_TRUE(word.Unhealthy("m"));
-  // Alone on a machine a job says nothing of it, until it was tried elsewhere and well.
+  // A job tried on a single machine is no evidence until it was started elsewhere.
   FailureTracker alone(2, 3);
   for (int i = 0; i < 4; ++i) alone.NoteFailure(kSecond * i, "m", "a");
   EXPECT_FALSE(alone.Unhealthy("m"));
@@ -71,20 +71,20 @@
   EXPECT_FALSE(alone.Unhealthy("m"));
 }
 
-TEST(Order, PutsOffWhatCostsMostUntilTheOthersAreInTime) {
+TEST(Order, DefersTheLargestJobsUntilTheOthersAreInTime) {
   const std::vector<Micros> soon = {10 * kSecond, 40 * kSecond}, later = {20 * kSecond};
-  // 10 cpus: 100 cpu seconds take 10 s.
+  // 10 CPUs: 100 CPU seconds take 10 s.
   std::vector<OrderItem> items = {{&soon, 60, 0}, {&soon, 90, 0}, {&soon, 30, 0}, {&later, 100, 0}};
   DeferLargest(0, 10, 0, &items);
   EXPECT_EQ(items[0].limit_index, 0u);
-  EXPECT_EQ(items[1].limit_index, 1u);  // 18 s of work in 10 s: the largest waits for its next aim
+  EXPECT_EQ(items[1].limit_index, 1u);  // 18 s of work in 10 s: the largest is deferred
   EXPECT_EQ(items[2].limit_index, 0u);
   EXPECT_EQ(items[3].limit_index, 0u);
-  // With room for all nothing is put off, whatever its size.
+  // With enough capacity nothing is deferred.
   for (OrderItem& i : items) i.limit_index = 0;
   DeferLargest(0, 30, 0, &items);
   for (const OrderItem& i : items) EXPECT_EQ(i.limit_index, 0u);
-  // What comes before counts, and nothing is put off past its last aim twice.
+  // Earlier work counts, and nothing is deferred beyond its last limit.
   DeferLargest(0, 10, 1000, &items);
   for (const OrderItem& i : items) EXPECT_EQ(i.limit_index, i.latest_starts->size());
 }
@@ -110,7 +110,7 @@
   return s;
 }
 
-TEST(Placement, KeepsToAllowedKindsZonesAndSpread) {
+TEST(Placement, RespectsMachineTypesZonesAndSpread) {
   JobSpec s = Spec(5);
   JobSpread spread;
   EXPECT_FALSE(Allowed(s, spread, Machine("a", "z1", true)));
@@ -140,7 +140,7 @@
   auto choose = [&] { return ChooseMachine(r, machines, CandidateIndex({"i"}, &machines)); };
   EXPECT_EQ(choose(), 1);
   r.steady_headroom = 30000;
-  // Work that stops at once may use the headroom; work that saves may not.
+  // Tasks without checkpoints may borrow the headroom; others may not.
   EXPECT_EQ(choose(), 1);
   s.checkpoint = 20 * kSecond;
   EXPECT_EQ(choose(), -1);
@@ -165,30 +165,30 @@
   EXPECT_EQ(TransferableQuota({10, 0}, {12, 0}, {9, 0}).cpus, 0);
 }
 
-TEST(TokenBucket, LetsMoreThanItsBurstThroughAndWorksItOff) {
-  // A commit of more writes than the bucket holds once waited for ever.
+TEST(TokenBucket, GrantsRequestsAboveTheBurstAndPaysThemOff) {
+  // A request above the capacity must not wait forever.
   TokenBucket b(10, 15);
   EXPECT_TRUE(b.Take(kSecond, 20, 4));
   EXPECT_FALSE(b.Take(kSecond + 500 * kMillisecond, 1));
   EXPECT_TRUE(b.Take(3 * kSecond, 1));
 }
 
-TEST(TokenBucket, QuestionsLeaveTheRestItsShare) {
+TEST(TokenBucket, HasLeavesTokensToOtherClients) {
   TokenBucket b(10, 5);
   EXPECT_TRUE(b.Has(kSecond, 5));
   b.Force(kSecond, 4);
   EXPECT_FALSE(b.Has(kSecond, 2));
   EXPECT_TRUE(b.Has(kSecond, 1));
-  // A time from before the last one gives nothing and takes nothing.
+  // An earlier time changes nothing.
   b.Force(kSecond / 2, 1);
   EXPECT_FALSE(b.Has(kSecond, 1));
   EXPECT_TRUE(b.Has(kSecond + 100 * kMillisecond, 1));
-  // More than it ever holds is waited for no longer than for all of it.
+  // A request above the capacity waits for a full bucket only.
   EXPECT_TRUE(b.Has(2 * kSecond, 50));
 }
 
-TEST(TokenBucket, WhoWaitsForMuchGetsItsTurnBesideWhoTakesLittle) {
-  // One node with two shards: one commits 2 writes at a time, the other 4.
+TEST(TokenBucket, LargeRequestsAreNotStarvedBySmallOnes) {
+  // Two clients, one taking 2 tokens at a time, the other 4.
   TokenBucket budget(15, 25);
   StarvationGuard guard;
   int taken[2] = {0, 0};
@@ -206,13 +206,13 @@
   }
   EXPECT_GT(taken[1], 100);
   EXPECT_GT(taken[0], 100);
-  // One that waits no longer does not hold the others up.
+  // A client that gave up does not block the others.
   guard.RecordAttempt(61 * kSecond, 1, false);
   EXPECT_FALSE(guard.MayTry(61 * kSecond, 0));
   EXPECT_TRUE(guard.MayTry(63 * kSecond, 0));
 }
 
-TEST(Records, OneMoreChunkDividesOneAndLeavesTheOthers) {
+TEST(Records, AddingAChunkSplitsOneAndLeavesTheOthers) {
   for (int chunks = 1; chunks < 20; ++chunks) {
     for (int i = 0; i < 500; ++i) {
       std::string name = "n-" + std::to_string(i);
@@ -241,13 +241,13 @@
     r.machines[m.name] = m;
   }
   EXPECT_LT(StoredSize(EncodeChunk(r, 0)), 16 * 1024);
-  // Damage is noticed, not read.
+  // Malformed records are refused.
   std::string bad = EncodeChunk(r, 0);
   AssignmentTable back;
   EXPECT_FALSE(DecodeChunk(bad.substr(0, bad.size() / 2), 0, &back));
 }
 
-TEST(Records, SurviveTheirRoundTrip) {
+TEST(Records, RoundTrip) {
   for (TableForm form : {TableForm::kOriginal, TableForm::kCompact}) {
     AssignmentTable r;
     r.form = form;
--- a/tests/daemon_units_test.cc
+++ b/tests/daemon_units_test.cc
@@ -1,4 +1,4 @@
-// Units of the command line's parts.
+// Unit tests of src/daemon.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -13,7 +13,7 @@
 namespace troutlink::daemon {
 namespace {
 
-// A file that is removed with the object.
+// A temporary file.
 class TemporaryFile {
  public:
   explicit TemporaryFile(std::string_view content)
@@ -37,7 +37,7 @@
   EXPECT_EQ(missing.error().text, "cannot read /nonexistent/settings.json");
 }
 
-TEST(SettingsFiles, NamesTheFileThatIsRefused) {
+TEST(SettingsFiles, NamesTheInvalidFile) {
   const TemporaryFile file("{}");
   const auto refused = LoadSettings({file.path(), ""});
   ASSERT_FALSE(refused);
@@ -46,7 +46,7 @@
   EXPECT_NE(refused.error().text.find("label is missing"), std::string::npos);
 }
 
-TEST(LogSetup, LevelsByName) {
+TEST(LogSetup, MapsLevelNames) {
   EXPECT_EQ(LogLevelOf("error"), spdlog::level::err);
   EXPECT_EQ(LogLevelOf("debug"), spdlog::level::debug);
   EXPECT_EQ(LogLevelOf("info"), spdlog::level::info);
--- a/tests/damage.h
+++ b/tests/damage.h
@@ -1,4 +1,4 @@
-// Damaged variants of good inputs, for parsers and decoders.
+// Mutated variants of valid inputs, for parsers and decoders.
 #ifndef TROUTLINK_TESTS_DAMAGE_H_
 #define TROUTLINK_TESTS_DAMAGE_H_
 
@@ -7,8 +7,8 @@
 
 namespace troutlink {
 
-// Calls `decode` with thousands of variants of `good` in which up to four bytes are changed,
-// erased or inserted, drawn with a fixed seed. Decoders may refuse them but must not crash.
+// Calls `decode` with thousands of variants of `good` in which up to four bytes are changed, erased
+// or inserted, drawn with a fixed seed. Decoders may refuse them but must not crash.
 template <typename Decode>
 void Damage(const std::string& good, Decode decode) {
   std::mt19937 rng(7);
--- a/tests/decision_digest.cc
+++ b/tests/decision_digest.cc
@@ -9,21 +9,21 @@
 namespace troutlink::test {
 namespace {
 
-// The parameters of the 64-bit FNV-1a hash.
+// Parameters of the 64-bit FNV-1a hash.
 constexpr uint64_t kHashBasis = 14695981039346656037ull;
 constexpr uint64_t kHashPrime = 1099511628211ull;
 
-// Every line of the metrics begins with this.
+// Prefix of every line of the metrics.
 constexpr std::string_view kMetricsPrefix = "troutlink_";
 
-// The test that runs, as Suite.Name.
+// The current test, as Suite.Name.
 std::string CurrentTest() {
   const testing::TestInfo* test = testing::UnitTest::GetInstance()->current_test_info();
   if (test == nullptr) return "none";
   return std::string(test->test_suite_name()) + "." + test->name();
 }
 
-// The number of this world among those that the same test made.
+// Number of this world within its test.
 int NextWorldOf(const std::string& test) {
   static std::string last_test;
   static int last_world = 0;
--- a/tests/decision_digest.h
+++ b/tests/decision_digest.h
@@ -1,6 +1,6 @@
-// A digest of everything that the controllers of a simulated world sent: every call, reply and
-// message to a peer, with its time and its node, in order. Texts of the log and of the metrics
-// are left out. Two versions of the core that make the same decisions have the same digests.
+// Digest of everything that the controllers of a simulated world sent: every call, reply and peer
+// message, with its time and node, in order. Texts of the log and the metrics are left out. Two
+// versions of the core that make the same decisions have the same digests.
 #ifndef TROUTLINK_TESTS_DECISION_DIGEST_H_
 #define TROUTLINK_TESTS_DECISION_DIGEST_H_
 
@@ -13,9 +13,9 @@
 
 namespace troutlink::test {
 
-// The digest of one world. When the environment variable TROUTLINK_DIGESTS names a file, the
-// destructor appends a line to it: the test, the number of the world within the test, the
-// digest and how much went into it. CONTRIBUTING.md says how the files are compared.
+// Digest of one world. If the environment variable TROUTLINK_DIGESTS names a file, the destructor
+// appends a line to it: the test, the number of the world within the test, the digest and the
+// number of items. CONTRIBUTING.md explains how to compare the files.
 class DecisionDigest {
  public:
   DecisionDigest();
@@ -23,7 +23,7 @@
   DecisionDigest(const DecisionDigest&) = delete;
   DecisionDigest& operator=(const DecisionDigest&) = delete;
 
-  // What a node handed to its runtime at `now`.
+  // Adds the output of a node at `now`.
   void Add(Micros now, size_t node, const Outbox& outbox);
 
  private:
@@ -32,7 +32,7 @@
   void AddReply(const Reply& reply);
   void AddCall(const Call& call);
 
-  const char* const path_;  // null: nothing is digested
+  const char* const path_;  // null: disabled
   uint64_t hash_;
   uint64_t items_ = 0;
 };
--- a/tests/dependencies_units_test.cc
+++ b/tests/dependencies_units_test.cc
@@ -1,4 +1,4 @@
-// Units of core/dependencies: the graph of jobs that depend on others.
+// Unit tests of the dependency graph.
 #include <gtest/gtest.h>
 
 #include "core/store/dependencies.h"
@@ -8,7 +8,7 @@
 
 constexpr Urgency kIdle{Priority::kLow, Urgency::kNoLimit};
 
-TEST(Dependencies, TheLastStageMakesAllBeforeItUrgent) {
+TEST(Dependencies, UrgencyIsInheritedFromTheLastStage) {
   DependencyGraph graph;
   graph.Add("b", {"a"}, kIdle, 10);
   graph.Add("c", {"b"}, kIdle, 20);
@@ -18,13 +18,13 @@
   graph.SetOwnUrgency("a", kIdle, 7);
   EXPECT_EQ(graph.InheritedBy("c"), (Urgency{Priority::kHigh, 1000 - 20}));
   EXPECT_EQ(graph.InheritedBy("b"), (Urgency{Priority::kHigh, 1000 - 20 - 10}));
-  // The longest path counts: through b and c, not straight to d.
+  // The longest path determines the latest start: through b and c, not directly to d.
   EXPECT_EQ(graph.InheritedBy("a").priority, Priority::kHigh);
   EXPECT_LE(graph.InheritedBy("a").latest_start, 1000 - 20 - 10);
   EXPECT_EQ(graph.TakeChanged(), (std::set<std::string>{"a", "b", "c"}));
 }
 
-TEST(Dependencies, WhatIsOverMakesNothingUrgent) {
+TEST(Dependencies, FinishedJobsPassNoUrgencyOn) {
   DependencyGraph graph;
   graph.Add("b", {"a"}, {Priority::kNormal, 500}, 10);
   graph.Add("c", {"b"}, {Priority::kHigh, 1000}, 10);
@@ -37,7 +37,7 @@
   EXPECT_TRUE(graph.empty());
 }
 
-TEST(Dependencies, AllDependentsAreFoundOnceHoweverManyPathsThereAre) {
+TEST(Dependencies, AllDependentsAreFoundOnceOverSeveralPaths) {
   DependencyGraph graph;
   graph.Add("b1", {"a"}, kIdle, 1);
   graph.Add("b2", {"a"}, kIdle, 1);
@@ -45,7 +45,7 @@
   EXPECT_EQ(graph.AllDependentsOf("a"), (std::vector<std::string>{"b1", "b2", "c"}));
 }
 
-TEST(Dependencies, ALongChainTakesNoDeepRecursion) {
+TEST(Dependencies, LongChainNeedsNoDeepRecursion) {
   DependencyGraph graph;
   constexpr int kJobs = 20000;
   for (int job = kJobs; job > 0; --job) {
--- a/tests/fake_worker.cc
+++ b/tests/fake_agent.cc
@@ -1,4 +1,4 @@
-#include "fake_worker.h"
+#include "fake_agent.h"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 
 namespace troutlink::test {
 
-AgentHeartbeat FakeWorker::MakeReport() {
+AgentHeartbeat FakeAgent::MakeHeartbeat() {
   AgentHeartbeat report;
   report.machine = name;
   report.addr = addr;
@@ -28,7 +28,7 @@
   return report;
 }
 
-void FakeWorker::Apply(Micros now, const Json& orders) {
+void FakeAgent::Apply(Micros now, const Json& orders) {
   for (const Json& order : orders) {
     const std::string piece = order.at("piece").get<std::string>();
     const std::string verb = order.at("verb").get<std::string>();
@@ -43,7 +43,7 @@
       if (verb == "stop" && it->second.state != TaskState::kExited) {
         it->second.state = TaskState::kExited;
         it->second.why = ExitReason::kStopped;
-        next_report = now;
+        next_heartbeat = now;
       } else if (verb == "reap" && it->second.state == TaskState::kExited) {
         tasks.erase(it);
       }
@@ -51,19 +51,19 @@
   }
 }
 
-void FakeWorker::StartTask(Micros now, const std::string& job, int task_index, uint64_t attempt) {
+void FakeAgent::StartTask(Micros now, const std::string& job, int task_index, uint64_t attempt) {
   ++starts;
   Task task;
   task.attempt = attempt;
   if (results != nullptr && results->count({job, task_index}) != 0) {
     task.state = TaskState::kExited;
     task.why = ExitReason::kDone;
-  } else if (fetch_time > 0 && !fails_all) {
+  } else if (fetch_time > 0 && !fails_all_tasks) {
     task.state = TaskState::kFetching;
     task.ends = now + fetch_time;
   } else {
-    BeginToRun(now, job, task_index, &task);
-    if (fails_all || (mistaken != nullptr && mistaken->count(job) != 0)) {
+    BeginRunning(now, job, task_index, &task);
+    if (fails_all_tasks || (failing_jobs != nullptr && failing_jobs->count(job) != 0)) {
       task.state = TaskState::kExited;
       task.why = ExitReason::kError;
     }
@@ -71,60 +71,59 @@
   tasks[{job, task_index}] = task;
 }
 
-void FakeWorker::BeginToRun(Micros now, const std::string& job, int task_index, Task* task) {
+void FakeAgent::BeginRunning(Micros now, const std::string& job, int task_index, Task* task) {
   if (on_start) on_start(job, task_index);
   const Micros run = run_time.count(job) != 0 ? run_time[job] : 0;
   task->state = TaskState::kRunning;
   task->ends = run > 0 ? now + run : 0;
 }
 
-std::pair<int, std::string> FakeWorker::Serve(Micros now, const std::string& target,
-                                              const Json& body) {
+std::pair<int, std::string> FakeAgent::Serve(Micros now, const std::string& target,
+                                             const Json& body) {
   Advance(now);
-  if (target == "/show") return {200, wire::EncodeAgentHeartbeat(MakeReport())};
+  if (target == "/show") return {200, wire::EncodeAgentHeartbeat(MakeHeartbeat())};
   const uint64_t their_token = body.at("baton").get<uint64_t>();
   if (their_token < token || body.at("shift").get<uint64_t>() != incarnation) {
-    return {409, wire::EncodeAgentHeartbeat(MakeReport())};
+    return {409, wire::EncodeAgentHeartbeat(MakeHeartbeat())};
   }
   if (their_token > token) {
     token = their_token;
-    next_report = std::min(next_report, now + 100 * kMillisecond);
+    next_heartbeat = std::min(next_heartbeat, now + 100 * kMillisecond);
   }
   Apply(now, body.at("orders"));
-  return {200, wire::EncodeAgentHeartbeat(MakeReport())};
+  return {200, wire::EncodeAgentHeartbeat(MakeHeartbeat())};
 }
 
-void FakeWorker::TakeAnswer(Micros now, Micros sent, uint64_t sent_incarnation,
+void FakeAgent::HandleReply(Micros now, Micros sent, uint64_t sent_incarnation,
                             const Json& answer) {
   const uint64_t their_token = answer.value("baton", uint64_t{0});
   if (dead || silent || their_token < token || sent_incarnation != incarnation) return;
-  if (their_token > token) next_report = std::min(next_report, now + 500 * kMillisecond);
+  if (their_token > token) next_heartbeat = std::min(next_heartbeat, now + 500 * kMillisecond);
   token = their_token;
   lease_from = std::max(lease_from, sent);
   Apply(now, answer.at("orders"));
 }
 
-void FakeWorker::Advance(Micros now) {
+void FakeAgent::Advance(Micros now) {
   for (auto& [key, task] : tasks) {
-    if (task.state == TaskState::kFetching && now >= task.ends &&
-        now - lease_from <= kWorkerLease) {
-      BeginToRun(now, key.first, key.second, &task);
+    if (task.state == TaskState::kFetching && now >= task.ends && now - lease_from <= kAgentLease) {
+      BeginRunning(now, key.first, key.second, &task);
     }
     if (task.state == TaskState::kRunning && task.ends != 0 && now >= task.ends) {
       task.state = TaskState::kExited;
       task.why = ExitReason::kDone;
       if (results != nullptr) results->insert(key);
-      next_report = std::min(next_report, now);
+      next_heartbeat = std::min(next_heartbeat, now);
     }
   }
-  if (now - lease_from > kWorkerLease) {
+  if (now - lease_from > kAgentLease) {
     tasks.clear();
     ++incarnation;
     lease_from = now;
   }
 }
 
-bool FakeWorker::Has(const std::string& job) const {
+bool FakeAgent::Has(const std::string& job) const {
   for (const auto& [key, task] : tasks) {
     if (key.first == job && task.state != TaskState::kExited) return true;
   }
--- a/tests/fake_cloud.cc
+++ b/tests/fake_cloud.cc
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-FakeCloud::FakeCloud(Workers* workers, MakeWorker make_worker,
+FakeCloud::FakeCloud(Agents* agents, MakeAgent make_agent,
                      std::function<void(const std::string&)> report)
-    : workers_(workers), make_worker_(std::move(make_worker)), report_(std::move(report)) {}
+    : agents_(agents), make_agent_(std::move(make_agent)), report_(std::move(report)) {}
 
 std::pair<int, Json> FakeCloud::Handle(Micros now, const std::string& method,
                                        const std::string& target, const Json& body) {
@@ -38,8 +38,8 @@
 
 std::pair<int, Json> FakeCloud::Return(const Json& body) {
   for (const Json& host : body.at("hosts")) {
-    auto it = workers_->find(host.get<std::string>());
-    if (it == workers_->end()) continue;
+    auto it = agents_->find(host.get<std::string>());
+    if (it == agents_->end()) continue;
     if (!it->second->dead && rented_names_.count(it->first) != 0) ++capacity;
     it->second->dead = true;
     it->second->tasks.clear();
@@ -62,13 +62,13 @@
   rentals += count;
   Json hosts = Json::array();
   for (int i = 0; i < count; ++i) {
-    FakeWorker& worker =
-        make_worker_(body.at("build").get<std::string>(), body.at("loaners").get<bool>());
-    worker.zone = body.at("room").get<std::string>();
-    worker.next_report = worker.lease_from = now + (boot_time ? boot_time() : 5 * kSecond);
-    if (dead_zones.count(worker.zone) != 0) worker.lease_from = worker.next_report = kNever;
-    hosts.push_back(worker.name);
-    rented_names_.insert(worker.name);
+    FakeAgent& agent =
+        make_agent_(body.at("build").get<std::string>(), body.at("loaners").get<bool>());
+    agent.zone = body.at("room").get<std::string>();
+    agent.next_heartbeat = agent.lease_from = now + (boot_time ? boot_time() : 5 * kSecond);
+    if (failing_zones.count(agent.zone) != 0) agent.lease_from = agent.next_heartbeat = kNever;
+    hosts.push_back(agent.name);
+    rented_names_.insert(agent.name);
   }
   Json answer = {{"hosts", hosts}};
   rented_[request_name] = {body, answer};
@@ -77,14 +77,14 @@
 
 std::pair<int, Json> FakeCloud::List(Micros now) const {
   Json list = Json::array();
-  for (const auto& [name, worker] : *workers_) {
-    if (worker->dead) continue;
+  for (const auto& [name, agent] : *agents_) {
+    if (agent->dead) continue;
     list.push_back({{"name_id", name},
-                    {"address", worker->addr},
-                    {"build", worker->type},
-                    {"room", worker->zone},
-                    {"loaners", worker->spot},
-                    {"status", worker->lease_from > now ? "booting" : "running"},
+                    {"address", agent->addr},
+                    {"build", agent->type},
+                    {"room", agent->zone},
+                    {"loaners", agent->spot},
+                    {"status", agent->lease_from > now ? "booting" : "running"},
                     {"age_s", 60.0}});
   }
   return {200, {{"hosts", list}, {"truncated", false}}};
--- a/tests/fake_cloud.h
+++ b/tests/fake_cloud.h
@@ -1,4 +1,4 @@
-// In-memory fake of the cloud that machines are rented from.
+// In-memory fake of the cloud.
 #ifndef TROUTLINK_TESTS_FAKE_CLOUD_H_
 #define TROUTLINK_TESTS_FAKE_CLOUD_H_
 
@@ -8,41 +8,39 @@
 #include <string>
 #include <utility>
 
-#include "fake_worker.h"
+#include "fake_agent.h"
 
 namespace troutlink::test {
 
-// Rents machines of one type, takes them back and lists them, as the published protocol
-// describes it.
+// Rents, returns and lists machines as specified by the published protocol.
 class FakeCloud {
  public:
-  // Makes a new machine of that type, on spot or not.
-  using MakeWorker = std::function<FakeWorker&(const std::string& type, bool spot)>;
+  // Creates a machine of that type.
+  using MakeAgent = std::function<FakeAgent&(const std::string& type, bool spot)>;
 
-  // `workers`: all machines, those of the cloud among them. `report`: notes a broken rule.
-  FakeCloud(Workers* workers, MakeWorker make_worker,
-            std::function<void(const std::string&)> report);
+  // `agents`: all machines. `report`: records a violated rule.
+  FakeCloud(Agents* agents, MakeAgent make_agent, std::function<void(const std::string&)> report);
 
-  // Carries a request out; returns the status and body of the answer.
+  // Executes a request; returns the status and body of the answer.
   std::pair<int, Json> Handle(Micros now, const std::string& method, const std::string& target,
                               const Json& body);
 
-  bool down = false;                  // 503 to all
-  int capacity = 100;                 // machines that can still be rented
-  std::function<Micros()> boot_time;  // of the next machine that is rented; unset: 5 s
-  std::set<std::string> dead_zones;   // machines that are rented there never come up
-  int rentals = 0, returns = 0;       // machines, in all
+  bool down = false;                    // answers 503 to all
+  int capacity = 100;                   // instances that can still be rented
+  std::function<Micros()> boot_time;    // of the next instance; unset: 5 s
+  std::set<std::string> failing_zones;  // instances in these zones never boot
+  int rentals = 0, returns = 0;         // total number of instances
 
  private:
   std::pair<int, Json> Rent(Micros now, const Json& body);
   std::pair<int, Json> Return(const Json& body);
   std::pair<int, Json> List(Micros now) const;
 
-  Workers* workers_;
-  MakeWorker make_worker_;
+  Agents* agents_;
+  MakeAgent make_agent_;
   std::function<void(const std::string&)> report_;
-  std::map<std::string, std::pair<Json, Json>> rented_;  // request and answer, by name
-  std::set<std::string> rented_names_;  // their room in the cloud is free again once returned
+  std::map<std::string, std::pair<Json, Json>> rented_;  // by request id: request and answer
+  std::set<std::string> rented_names_;                   // returning one frees capacity
 };
 
 }  // namespace troutlink::test
--- a/tests/fake_state.cc
+++ b/tests/fake_state.cc
@@ -35,7 +35,7 @@
 
 Json FakeState::EventsAfter(uint64_t after) const {
   Json events = Json::array();
-  // Revisions in the log only grow.
+  // Log entries are ordered by revision.
   auto change = std::upper_bound(
       changes.begin(), changes.end(), after,
       [](uint64_t revision, const Change& entry) { return revision < entry.revision; });
@@ -62,7 +62,7 @@
 
 bool FakeState::WithinLimits(const Json& body) const {
   const Json& writes = body.at("writes");
-  if (limits.txn_ops == 0) return true;  // none were set
+  if (limits.txn_ops == 0) return true;  // no limits set
   if (static_cast<int>(writes.size()) > limits.txn_ops ||
       static_cast<int>(body.at("if").size()) > limits.conditions()) {
     return false;
--- a/tests/fake_state.h
+++ b/tests/fake_state.h
@@ -1,4 +1,4 @@
-// In-memory fake of the state service.
+// In-memory fake of the key-value store.
 #ifndef TROUTLINK_TESTS_FAKE_STATE_H_
 #define TROUTLINK_TESTS_FAKE_STATE_H_
 
@@ -16,50 +16,50 @@
 
 using wire::Json;
 
-// Value of a parameter in a target's query, or empty.
+// Value of a query parameter in `target`, or empty.
 std::string QueryParameter(const std::string& target, const std::string& name);
 
-// Versioned keys, conditional transactions, leases and a log of changes, as the published
-// protocol describes them. It answers everything at once; delays and outages are the World's.
+// Versioned keys, transactions, leases and a change log, as specified by the published protocol.
+// Answers at once; World adds delays and outages.
 class FakeState {
  public:
-  // A stored value. `version` is the revision that wrote it; `lease` is 0 if it has none.
+  // A stored value. `version` is the revision that wrote it; `lease` is 0 if there is none.
   struct Item {
     Json value;
     uint64_t version = 0;
     uint64_t lease = 0;
   };
-  // A lease ends once simulated time is past `until`.
+  // Expires at `until`.
   struct Lease {
     Micros life = 0, until = 0;
   };
-  // One entry of the log that watches are answered from.
+  // Entry of the change log.
   struct Change {
     uint64_t revision;
     std::string key;
     bool erase;
   };
 
-  // What it accepts: a larger transaction or value gets 400. Reading has no limit.
+  // Limits: a larger transaction or value gets 400. Reads are unlimited.
   StateLimits limits;
 
-  // Carries a request out; returns the status and body of the answer.
+  // Executes a request; returns the status and body of the answer.
   std::pair<int, Json> Handle(Micros now, const std::string& method, const std::string& target,
                               const Json& body);
-  // Ends the leases whose time is over and erases the keys that were bound to them.
+  // Expires leases and erases their keys.
   void Expire(Micros now);
-  // An outage ends: every lease has its full time again.
+  // Extends every lease to its full TTL, at the end of an outage.
   void Refresh(Micros now);
-  // What a watch from that revision is told: the present value of each key that changed since.
+  // Answer to a watch from that revision: the current value of each changed key.
   Json EventsAfter(uint64_t after) const;
 
   std::map<std::string, Item> items;
-  uint64_t revision = 0;  // of an empty service
+  uint64_t revision = 0;  // of an empty store
   std::map<uint64_t, Lease> leases;
   uint64_t next_lease = 1;
   std::vector<Change> changes;
-  int too_large = 0;  // transactions beyond the limits
-  int commits = 0;    // transactions that arrived, also those that were refused
+  int too_large = 0;  // transactions above the limits
+  int commits = 0;    // received transactions, including refused ones
 
  private:
   std::pair<int, Json> Commit(const Json& body);
--- a/tests/fleet_units_test.cc
+++ b/tests/fleet_units_test.cc
@@ -1,5 +1,5 @@
-// Units of core/fleet: the cloud's answers, machine types, the list of instances, the choice of
-// an offer, rental requests and returns.
+// Unit tests of src/core/fleet: the cloud's answers, machine types, the list of instances, offers,
+// rental requests and returns.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -37,12 +37,12 @@
 const OfferKey kOffer{"a", "z1", true};
 const OfferKey kOther{"b", "z1", true};
 
-// What the classes are given: effects, and calls of the cloud that do not run out by themselves.
+// Effects and an ample call budget for the classes under test.
 class FleetTest : public ::testing::Test {
  protected:
-  // The calls that were sent since the last time.
+  // Calls sent since the last call.
   std::vector<Call> Sent() { return effects_.TakeOutbox().calls; }
-  // Answers the one call that was sent since the last time.
+  // Answers the only call sent since the last call.
   void Answer(Micros now, int status, const std::string& body) {
     const std::vector<Call> calls = Sent();
     ASSERT_THAT(calls, SizeIs(1));
@@ -64,7 +64,7 @@
 
 // --- answers -----------------------------------------------------------------------------
 
-TEST(CloudAnswers, ARentalIsFilledFilledInPartRefusedOrUnknown) {
+TEST(CloudAnswers, RentalIsFilledPartiallyFilledRefusedOrUnknown) {
   const std::string two = Pack(Json{{"hosts", Names{"m1", "m2"}}});
   EXPECT_EQ(DecodeRentalAnswer(200, two, 2).outcome, RentalOutcome::kRented);
   EXPECT_THAT(DecodeRentalAnswer(200, two, 2).instances, ElementsAre("m1", "m2"));
@@ -85,7 +85,7 @@
   EXPECT_FALSE((RentalAnswer{RentalOutcome::kUnknown, {}}).definite());
 }
 
-TEST(CloudAnswers, AReturnIsConfirmedByA200Alone) {
+TEST(CloudAnswers, ReturnIsConfirmedOnlyByStatus200) {
   EXPECT_EQ(DecodeReturnAnswer(200), ReturnOutcome::kConfirmed);
   for (const int status : {kNoAnswer, kNotSent, 404, 429, 503}) {
     EXPECT_EQ(DecodeReturnAnswer(status), ReturnOutcome::kUnknown) << status;
@@ -101,7 +101,7 @@
   const std::string body_ = TypesBody({TypeNamed("a", 1, {"z1"}), TypeNamed("b", 2, {"z1"})});
 };
 
-TEST_F(MachineTypeCatalogTest, AsksOnceAMinuteAndSoonAgainAfterAFailure) {
+TEST_F(MachineTypeCatalogTest, RefreshesEveryMinuteAndRetriesSoonAfterAFailure) {
   types_.Refresh(kSecond);
   types_.Refresh(kSecond);  // one is in flight
   Answer(kSecond, 503, "");
@@ -125,25 +125,25 @@
   EXPECT_EQ(types_.Find("c"), nullptr);
 }
 
-TEST_F(MachineTypeCatalogTest, TheStoredCopyServesUntilTheCloudAnswers) {
+TEST_F(MachineTypeCatalogTest, StoredCopyIsUsedUntilTheCloudAnswers) {
   types_.LoadStored(TypesBody({TypeNamed("old", 1, {"z1"})}));
   EXPECT_NE(types_.Find("old"), nullptr);
   types_.Refresh(kSecond);
   Answer(kSecond, 200, body_);
   EXPECT_EQ(types_.Find("old"), nullptr);
-  // A copy that is read after that is older than what the cloud said.
+  // A copy read later is older than the cloud's answer.
   types_.LoadStored(TypesBody({TypeNamed("old", 1, {"z1"})}));
   EXPECT_EQ(types_.Find("old"), nullptr);
 }
 
-TEST_F(MachineTypeCatalogTest, OneCopyIsStoredOnceItMayBeWritten) {
+TEST_F(MachineTypeCatalogTest, StoresOneCopyWhenTheWriteBudgetAllowsIt) {
   types_.Refresh(kSecond);
   Answer(kSecond, 200, body_);
   EXPECT_THAT(Sent(), IsEmpty());
   may_write_ = true;
   types_.Refresh(61 * kSecond);
   Answer(61 * kSecond, 200, body_);
-  Answer(61 * kSecond, 503, "");  // the write
+  Answer(61 * kSecond, 503, "");  // the write of the copy
   types_.Refresh(121 * kSecond);
   Answer(121 * kSecond, 200, body_);
   const std::vector<Call> write = Sent();
@@ -154,7 +154,7 @@
   EXPECT_THAT(Sent(), IsEmpty());
 }
 
-TEST_F(MachineTypeCatalogTest, AnAnswerWithoutTypesChangesNothing) {
+TEST_F(MachineTypeCatalogTest, AnswerWithoutTypesIsIgnored) {
   types_.LoadStored(body_);
   types_.Refresh(kSecond);
   Answer(kSecond, 200, TypesBody({}));
@@ -166,7 +166,7 @@
 class InstanceListerTest : public FleetTest {
  protected:
   struct List {
-    Micros asked;
+    Micros requested_at;
     Names names;
   };
   static std::string Page(const Names& names, bool more) {
@@ -177,20 +177,21 @@
 
   bool hurry_ = false;
   std::vector<List> lists_;
-  InstanceLister lister_{{3, 60, 4 * kSecond},
-                         &effects_,
-                         &cloud_calls_,
-                         [this] { return hurry_; },
-                         [this](Micros, Micros asked, const std::vector<ListedMachine>& instances) {
-                           List list{asked, {}};
-                           for (const ListedMachine& instance : instances) {
-                             list.names.push_back(instance.name);
-                           }
-                           lists_.push_back(std::move(list));
-                         }};
+  InstanceLister lister_{
+      {3, 60, 4 * kSecond},
+      &effects_,
+      &cloud_calls_,
+      [this] { return hurry_; },
+      [this](Micros, Micros requested_at, const std::vector<ListedMachine>& instances) {
+        List list{requested_at, {}};
+        for (const ListedMachine& instance : instances) {
+          list.names.push_back(instance.name);
+        }
+        lists_.push_back(std::move(list));
+      }};
 };
 
-TEST_F(InstanceListerTest, HandsAListOnOnceItsLastPageCame) {
+TEST_F(InstanceListerTest, DeliversAListAfterItsLastPage) {
   lister_.Advance(kSecond);
   Answer(2 * kSecond, 200, Page({"m1", "m2"}, true));
   EXPECT_THAT(lists_, IsEmpty());
@@ -200,11 +201,11 @@
   ASSERT_THAT(calls, ElementsAre(Field(&Call::target, wire::MachinesTarget("m2", 500))));
   effects_.HandleAnswer(3 * kSecond, calls.front().id, 200, Page({"m3"}, false));
   ASSERT_THAT(lists_, SizeIs(1));
-  EXPECT_EQ(lists_.front().asked, kSecond);
+  EXPECT_EQ(lists_.front().requested_at, kSecond);
   EXPECT_THAT(lists_.front().names, ElementsAre("m1", "m2", "m3"));
 }
 
-TEST_F(InstanceListerTest, APageThatFailsBeginsTheListAnew) {
+TEST_F(InstanceListerTest, FailedPageRestartsTheList) {
   lister_.Advance(kSecond);
   Answer(kSecond, 200, Page({"m1"}, true));
   lister_.Advance(kSecond);
@@ -216,7 +217,7 @@
   EXPECT_THAT(Sent(), ElementsAre(Field(&Call::target, wire::MachinesTarget("", 500))));
 }
 
-TEST_F(InstanceListerTest, APageWaitsForACallAndAListThatTakesTooLongIsDropped) {
+TEST_F(InstanceListerTest, PageWaitsForTheCallBudgetAndASlowListIsDropped) {
   lister_.Advance(kSecond);
   Answer(kSecond, 200, Page({"m1"}, true));
   cloud_calls_.Force(kSecond, 1999);
@@ -230,10 +231,10 @@
   EXPECT_THAT(Sent(), ElementsAre(Field(&Call::target, wire::MachinesTarget("", 500))));
 }
 
-TEST_F(InstanceListerTest, TheNextListComesSoonerWhileAnInstanceIsSilent) {
+TEST_F(InstanceListerTest, ListsMoreOftenWhileAnInstanceIsSilent) {
   lister_.Advance(kSecond);
   Answer(2 * kSecond, 200, Page({}, false));
-  // Half of the lag and one second after its begin.
+  // Half of the lag and one second after its start.
   lister_.Advance(4 * kSecond - 1);
   EXPECT_THAT(Sent(), IsEmpty());
   lister_.Advance(4 * kSecond);
@@ -245,7 +246,7 @@
   EXPECT_THAT(Sent(), SizeIs(1));
 }
 
-TEST_F(InstanceListerTest, TheLastCallIsLeftToRentalsAndReturns) {
+TEST_F(InstanceListerTest, LeavesTheLastCallToRentalsAndReturns) {
   cloud_calls_ = TokenBucket(0, 1000);
   ASSERT_TRUE(cloud_calls_.Take(kSecond, 999));
   lister_.Advance(kSecond);
@@ -255,7 +256,7 @@
 
 // --- offers ------------------------------------------------------------------------------
 
-TEST(OfferHealth, OneFailureSaysNothingAndMoreMakeAnOfferDearer) {
+TEST(OfferHealth, SeveralFailuresRaiseThePriceFactorButOneDoesNot) {
   OfferHealth offers;
   EXPECT_DOUBLE_EQ(offers.PriceFactor(kSecond, kOffer), 1);
   offers.NeverCameUp(kSecond, kOffer);
@@ -268,14 +269,14 @@
   EXPECT_DOUBLE_EQ(offers.PriceFactor(kSecond, kOffer), 3);
 }
 
-TEST(OfferHealth, AnOfferThatFailedIsTriedAgainLater) {
+TEST(OfferHealth, FailuresDecayWithTime) {
   OfferHealth offers;
   for (int i = 0; i < 4; ++i) offers.NeverCameUp(kSecond, kOffer);
   EXPECT_GT(offers.PriceFactor(60 * kSecond, kOffer), 1);
   EXPECT_DOUBLE_EQ(offers.PriceFactor(600 * kSecond, kOffer), 1);
 }
 
-TEST(OfferBackoff, EachRefusalDoublesThePauseUpToFourfold) {
+TEST(OfferBackoff, EachRefusalDoublesTheBackoffUpToFourfold) {
   OfferBackoff backoff(10 * kSecond);
   EXPECT_FALSE(backoff.Paused(0, kOffer));
   for (const Micros times : {1, 2, 4, 4}) {
@@ -286,7 +287,7 @@
   EXPECT_FALSE(backoff.Paused(0, kOther));
 }
 
-TEST(OfferBackoff, AFilledRequestEndsThePauseAndOneFilledInPartCountsAsOneRefusal) {
+TEST(OfferBackoff, FilledRequestEndsTheBackoffAndAPartiallyFilledOneCountsAsOneRefusal) {
   OfferBackoff backoff(10 * kSecond);
   for (int i = 0; i < 3; ++i) backoff.Refused(0, kOffer);
   backoff.PartiallyFilled(0, kOffer);
@@ -298,7 +299,7 @@
   EXPECT_FALSE(backoff.Paused(0, kOffer));
 }
 
-TEST(OfferKey, IsWrittenAsTypeZoneAndKind) {
+TEST(OfferKey, IsFormattedAsTypeZoneAndKind) {
   EXPECT_EQ((OfferKey{"a", "z1", true}).Text(), "a/z1/spot");
   EXPECT_EQ((OfferKey{"a", "z1", false}).Text(), "a/z1/steady");
 }
@@ -310,7 +311,7 @@
     spec_.task_resources.cpus = kMillisecond;
     spec_.spot = true;
   }
-  // The key of the choice, as text; empty: there is none.
+  // The key of the selected offer as text, or empty.
   std::string Choice(bool spot = true, const JobSpread& spread = {}) const {
     const std::optional<Offer> offer =
         offers_.Cheapest(kSecond, {spec_, spread, spot, instances_by_zone_});
@@ -325,7 +326,7 @@
   std::map<std::string, int> instances_by_zone_;
 };
 
-TEST_F(OfferSelectorTest, TakesTheCheapestOfferOfTheKind) {
+TEST_F(OfferSelectorTest, SelectsTheCheapestOfferOfTheKind) {
   EXPECT_EQ(Choice(true), "a/z1/spot");
   EXPECT_EQ(Choice(false), "a/z1/steady");
   spec_.spot = false;
@@ -337,7 +338,7 @@
   EXPECT_EQ(Choice(), "a/z2/spot");
 }
 
-TEST_F(OfferSelectorTest, LeavesOffersAloneThatItBacksOffFrom) {
+TEST_F(OfferSelectorTest, SkipsOffersInBackoff) {
   backoff_.Refused(kSecond, {"a", "z1", true});
   EXPECT_EQ(Choice(), "a/z2/spot");
   backoff_.Refused(kSecond, {"a", "z2", true});
@@ -345,14 +346,14 @@
   EXPECT_EQ(Choice(false), "a/z1/steady");
 }
 
-TEST_F(OfferSelectorTest, PaysMoreForAnOfferWhoseInstancesComeUp) {
+TEST_F(OfferSelectorTest, PrefersADearerOfferWhoseInstancesBoot) {
   for (const char* zone : {"z1", "z2"}) {
     for (int i = 0; i < 2; ++i) health_.NeverCameUp(kSecond, {"a", zone, true});
   }
   EXPECT_EQ(Choice(), "b/z1/spot");
 }
 
-TEST_F(OfferSelectorTest, KeepsToTheTypesZonesAndSizesThatTheJobAllows) {
+TEST_F(OfferSelectorTest, RespectsTheJobsTypesZonesAndSizes) {
   spec_.types = {"b"};
   EXPECT_EQ(Choice(), "b/z1/spot");
   spec_.types.clear();
@@ -380,7 +381,7 @@
                            }};
 };
 
-TEST_F(RentalRequestsTest, ARequestIsSentOnceAndItsInstancesAreKept) {
+TEST_F(RentalRequestsTest, SendsARequestOnceAndKeepsItsInstances) {
   requests_.Send(kSecond, 3, request_);
   requests_.Send(kSecond, 3, request_);
   EXPECT_EQ(requests_.InstancesOf(request_.id), nullptr);
@@ -392,7 +393,7 @@
   EXPECT_THAT(Sent(), IsEmpty());
 }
 
-TEST_F(RentalRequestsTest, AnUnknownOutcomeIsAskedForAgainWithTheSameRequest) {
+TEST_F(RentalRequestsTest, RetriesAnUnknownOutcomeWithTheSameRequest) {
   requests_.Send(kSecond, 0, request_);
   Answer(kSecond, kNoAnswer, "");
   EXPECT_THAT(answers_, ElementsAre(Pair(0, RentalOutcome::kUnknown)));
@@ -403,7 +404,7 @@
   EXPECT_THAT(Sent(), ElementsAre(Field(&Call::body, wire::EncodeRent(request_))));
 }
 
-TEST_F(RentalRequestsTest, ARefusalIsFinalAndBacksOffFromTheOffer) {
+TEST_F(RentalRequestsTest, RefusalIsFinalAndStartsTheBackoff) {
   requests_.Send(kSecond, 0, request_);
   Answer(kSecond, 503, "no capacity");
   ASSERT_NE(requests_.InstancesOf(request_.id), nullptr);
@@ -413,7 +414,7 @@
   EXPECT_THAT(Sent(), IsEmpty());
 }
 
-TEST_F(RentalRequestsTest, ARequestFilledInPartBacksOffAndOneFilledDoesNot) {
+TEST_F(RentalRequestsTest, PartiallyFilledRequestStartsTheBackoffAndAFilledOneDoesNot) {
   requests_.Send(kSecond, 0, request_);
   Answer(kSecond, 200, Pack(Json{{"hosts", Names{"m1"}}}));
   EXPECT_THAT(answers_, ElementsAre(Pair(0, RentalOutcome::kPartiallyFilled)));
@@ -425,7 +426,7 @@
   EXPECT_FALSE(backoff_.Paused(2 * kSecond, kOffer));
 }
 
-TEST_F(RentalRequestsTest, AForgottenRequestIsSentAgain) {
+TEST_F(RentalRequestsTest, ForgottenRequestIsSentAgain) {
   requests_.Send(kSecond, 0, request_);
   Answer(kSecond, 200, rented_);
   requests_.Forget(request_.id);
@@ -434,7 +435,7 @@
   EXPECT_THAT(Sent(), SizeIs(1));
 }
 
-TEST_F(RentalRequestsTest, ARequestWaitsForACallOfTheCloud) {
+TEST_F(RentalRequestsTest, RequestWaitsForTheCallBudget) {
   cloud_calls_ = TokenBucket(0, 1);
   ASSERT_TRUE(cloud_calls_.Take(kSecond, 1));
   requests_.Send(kSecond, 0, request_);
@@ -468,7 +469,7 @@
                            [this](int) { ++answered_; }};
 };
 
-TEST_F(InstanceReturnsTest, InstancesThatLeaveAreReturnedTogetherAndOnce) {
+TEST_F(InstanceReturnsTest, DrainingInstancesAreReturnedTogetherAndOnce) {
   returns_.Send(kSecond, 0, instances_);
   returns_.Send(kSecond, 0, instances_);
   const std::vector<Call> calls = Sent();
@@ -482,7 +483,7 @@
   EXPECT_THAT(Sent(), IsEmpty());
 }
 
-TEST_F(InstanceReturnsTest, AReturnThatWasNotConfirmedIsRepeatedAfterASecond) {
+TEST_F(InstanceReturnsTest, UnconfirmedReturnIsRetriedAfterASecond) {
   returns_.Send(kSecond, 0, instances_);
   Answer(2 * kSecond, kNoAnswer, "");
   EXPECT_THAT(gone_, IsEmpty());
@@ -494,7 +495,7 @@
   EXPECT_THAT(Sent(), SizeIs(1));
 }
 
-TEST_F(InstanceReturnsTest, AConfirmationForAShardThatIsNoLongerOursIsDropped) {
+TEST_F(InstanceReturnsTest, ConfirmationForALostShardIsDiscarded) {
   returns_.Send(kSecond, 0, instances_);
   ours_ = false;
   Answer(2 * kSecond, 200, "");
@@ -502,7 +503,7 @@
   EXPECT_EQ(answered_, 1);
 }
 
-TEST_F(InstanceReturnsTest, AConfirmationIsKeptUntilNoTableHasTheInstance) {
+TEST_F(InstanceReturnsTest, ConfirmationIsKeptUntilNoTableContainsTheInstance) {
   returns_.Send(kSecond, 0, instances_);
   Answer(kSecond, 200, "");
   returns_.DropConfirmed([](const std::string& name) { return name == "m1"; });
@@ -510,7 +511,7 @@
   EXPECT_FALSE(returns_.Confirmed("m3"));
 }
 
-TEST_F(InstanceReturnsTest, UnderAnotherLeadershipAReturnInFlightIsSentAgain) {
+TEST_F(InstanceReturnsTest, ReturnInFlightIsRepeatedUnderAnotherLeadership) {
   returns_.Send(kSecond, 0, instances_);
   returns_.ForgetInFlight("m3");
   EXPECT_THAT(Sent(), SizeIs(1));
@@ -518,7 +519,7 @@
   EXPECT_THAT(Sent(), ElementsAre(Field(&Call::body, wire::EncodeReturn({"m3"}))));
 }
 
-TEST_F(InstanceReturnsTest, AForgottenInstanceHasNoRetryToWaitFor) {
+TEST_F(InstanceReturnsTest, ForgottenInstanceNeedNotWaitForARetry) {
   returns_.Send(kSecond, 0, instances_);
   Answer(kSecond, kNoAnswer, "");
   returns_.Forget("m1");
@@ -526,7 +527,7 @@
   EXPECT_THAT(Sent(), ElementsAre(Field(&Call::body, wire::EncodeReturn({"m1"}))));
 }
 
-TEST_F(InstanceReturnsTest, OneRequestReturnsAHundredAtMost) {
+TEST_F(InstanceReturnsTest, OneRequestReturnsAtMostAHundredInstances) {
   for (int i = 0; i < 150; ++i) {
     const std::string name = "n" + std::to_string(1000 + i);
     instances_[name].name = name;
--- a/tests/http_units_test.cc
+++ b/tests/http_units_test.cc
@@ -1,4 +1,4 @@
-// Units of src/http: the parser of requests and responses, and the writers.
+// Unit tests of src/http.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 using testing::Field;
 using testing::IsEmpty;
 
-// All messages in `text`, given to the parser in pieces of `step` bytes.
+// All messages in `text`, parsed in pieces of `step` bytes.
 std::vector<Message> ParseAll(Parser::Kind kind, std::string_view text, size_t step) {
   Parser parser(kind, {});
   std::vector<Message> messages;
@@ -37,7 +37,7 @@
   return ParseAll(Parser::Kind::kResponse, text, text.size());
 }
 
-// The status with which `text` is refused; 0 when it is not.
+// Status for the refused `text`; 0 if it is accepted.
 int Refusal(std::string_view text, Parser::Kind kind = Parser::Kind::kRequest) {
   Parser parser(kind, {});
   parser.Feed(text);
@@ -45,12 +45,12 @@
   return parser.Next(&message) == Parser::State::kError ? parser.error_status() : 0;
 }
 
-// The status with which a request with these fields is refused.
+// Status for a refused request with these fields.
 int RefusalOfFields(const std::string& fields) {
   return Refusal("GET / HTTP/1.1\r\n" + fields + "\r\n\r\n");
 }
 
-// The status with which a request with this chunked body is refused.
+// Status for a refused request with this chunked body.
 int RefusalOfChunks(const std::string& body) {
   return Refusal("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + body);
 }
@@ -80,7 +80,7 @@
   }
 }
 
-TEST(HttpParser, RefusesOtherVersionsOfHttp) {
+TEST(HttpParser, RefusesOtherHttpVersions) {
   EXPECT_EQ(Refusal("GET / HTTP/2.0\r\n\r\n"), 505);
   EXPECT_EQ(Refusal("GET / HTTP/1.11\r\n\r\n"), 505);
 }
@@ -91,23 +91,23 @@
   }
 }
 
-TEST(HttpParser, RefusesLengthsThatAreNoNumber) {
+TEST(HttpParser, RefusesInvalidContentLengths) {
   for (const char* length : {"-1", "+1", "", "1x", "0x1", "1234567890"}) {
     EXPECT_EQ(RefusalOfFields(std::string("Content-Length: ") + length), 400) << length;
   }
 }
 
-TEST(HttpParser, RefusesTwoWaysToFindTheEndOfABody) {
+TEST(HttpParser, RefusesConflictingBodyLengths) {
   EXPECT_EQ(RefusalOfFields("Content-Length: 1\r\nContent-Length: 2"), 400);
   EXPECT_EQ(RefusalOfFields("Content-Length: 1\r\nTransfer-Encoding: chunked"), 400);
 }
 
-TEST(HttpParser, TakesTheSameLengthTwice) {
+TEST(HttpParser, AcceptsARepeatedEqualContentLength) {
   EXPECT_THAT(Requests("GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx"),
               ElementsAre(Field(&Message::body, "x")));
 }
 
-TEST(HttpParser, RefusesCodingsOtherThanChunked) {
+TEST(HttpParser, RefusesTransferCodingsOtherThanChunked) {
   EXPECT_EQ(RefusalOfFields("Transfer-Encoding: gzip, chunked"), 501);
 }
 
@@ -140,7 +140,7 @@
   EXPECT_EQ(RefusalOfChunks("1;" + std::string(62, 'a')), 0);
 }
 
-TEST(HttpParser, TellsWhetherTheSenderClosesTheConnection) {
+TEST(HttpParser, DetectsConnectionClose) {
   EXPECT_THAT(Requests("GET / HTTP/1.1\r\n\r\nGET / HTTP/1.0\r\n\r\n"
                        "GET / HTTP/1.1\r\nConnection: Close\r\n\r\n"
                        "GET / HTTP/1.0\r\nconnection:\tkeep-alive \r\n\r\n"),
@@ -187,13 +187,13 @@
          });
 }
 
-TEST(HttpWriter, WritesRequestsToTheByte) {
+TEST(HttpWriter, WritesTheExpectedRequestBytes) {
   EXPECT_EQ(WriteRequest("POST", "/api/jobs", "10.0.0.1:80", "abc"),
             "POST /api/jobs HTTP/1.1\r\nHost: 10.0.0.1:80\r\nContent-Type: application/msgpack\r\n"
             "Content-Length: 3\r\n\r\nabc");
 }
 
-TEST(HttpWriter, WritesResponsesToTheByte) {
+TEST(HttpWriter, WritesTheExpectedResponseBytes) {
   EXPECT_EQ(WriteResponse(503, "abc", true, 2),
             "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/msgpack\r\n"
             "Content-Length: 3\r\nRetry-After: 2\r\nConnection: close\r\n\r\nabc");
@@ -201,13 +201,13 @@
             "HTTP/1.1 200 OK\r\nContent-Type: application/msgpack\r\nContent-Length: 0\r\n\r\n");
 }
 
-TEST(HttpWriter, WritesStatusesWithoutAPhraseOfTheirOwn) {
+TEST(HttpWriter, WritesStatusesWithoutAReasonPhrase) {
   EXPECT_EQ(WriteResponse(418, "", false, 0),
             "HTTP/1.1 418 Status\r\nContent-Type: application/msgpack\r\n"
             "Content-Length: 0\r\n\r\n");
 }
 
-TEST(HttpWriter, WritesWhatTheParserReads) {
+TEST(HttpWriter, OutputIsReadableByTheParser) {
   EXPECT_THAT(Requests(WriteRequest("POST", "/x?y=1", "h", "body")),
               ElementsAre(AllOf(Field(&Message::method, "POST"), Field(&Message::target, "/x?y=1"),
                                 Field(&Message::body, "body"))));
--- a/tests/leadership_units_test.cc
+++ b/tests/leadership_units_test.cc
@@ -1,4 +1,4 @@
-// Units of src/core/leadership: node health, peers, session lease, elections and heartbeats.
+// Unit tests of src/core/leadership.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -39,14 +39,14 @@
   EXPECT_FALSE(health.StateFresh(10 * kSecond + 1500 * kMillisecond));
 }
 
-TEST(NodeHealth, WithoutAnyAnswerTheStateIsOlderThanAnyPeers) {
+TEST(NodeHealth, WithoutAnswersTheStateAgeExceedsThatOfAllPeers) {
   const NodeHealth health(10 * kSecond);
   EXPECT_EQ(health.StateAge(12 * kSecond), 3602 * kSecond);
 }
 
-TEST(NodeHealth, APauseLastsUntilTheNextTickEnds) {
+TEST(NodeHealth, PauseEndsWithTheNextTick) {
   NodeHealth health(0);
-  EXPECT_FALSE(health.ProcessPaused(60 * kSecond));  // it has not ticked yet
+  EXPECT_FALSE(health.ProcessPaused(60 * kSecond));  // no tick yet
   health.EndTick(60 * kSecond);
   EXPECT_FALSE(health.ProcessPaused(63 * kSecond));
   EXPECT_TRUE(health.ProcessPaused(63 * kSecond + 1));
@@ -73,7 +73,7 @@
   EXPECT_FALSE(health.HealthyFor(26 * kSecond, 6 * kSecond));
 }
 
-TEST(PeerTable, ShowsTheLastHeartbeatOfEachPeer) {
+TEST(PeerTable, KeepsTheLastHeartbeatOfEachPeer) {
   PeerTable peers;
   peers.Add("b");
   EXPECT_THAT(peers.Find("x"), IsNull());
@@ -92,7 +92,7 @@
   EXPECT_THAT(peers.At("b").led_shards, IsEmpty());
 }
 
-TEST(PeerTable, BoundsTheAgeThatAPeerStates) {
+TEST(PeerTable, BoundsTheStateAgeReportedByAPeer) {
   PeerTable peers;
   peers.Add("b");
   mesh::Heartbeat heartbeat;
@@ -101,7 +101,7 @@
   EXPECT_EQ(peers.At("b").state_age, Micros{1} << 60);
 }
 
-TEST(PeerTable, GivesBackTheMachinesThatWereSilentBefore) {
+TEST(PeerTable, ReturnsThePreviouslySilentMachines) {
   PeerTable peers;
   peers.Add("b");
   EXPECT_THAT(peers.ExchangeSilentMachines("b", {"m1", "m2"}), IsEmpty());
@@ -109,24 +109,24 @@
   EXPECT_THAT(peers.At("b").silent_machines, ElementsAre("m2"));
 }
 
-TEST(Readiness, NeedsTheReplicaAndEitherTheStateServiceOrAPeer) {
+TEST(Readiness, RequiresTheReplicaAndEitherTheStoreOrAPeer) {
   NodeHealth health(0);
   PeerTable peers;
   peers.Add("b");
   const Micros now = 100 * kSecond;
-  EXPECT_FALSE(IsReady(now, true, health, peers));  // alone, among others
+  EXPECT_FALSE(IsReady(now, true, health, peers));  // partitioned from its peers
   peers.NoteHeartbeat(now - 1500 * kMillisecond, "b", {});
   EXPECT_FALSE(IsReady(now, true, health, peers));
   peers.NoteHeartbeat(now - 1500 * kMillisecond + 1, "b", {});
   EXPECT_TRUE(IsReady(now, true, health, peers));
   EXPECT_FALSE(IsReady(now, false, health, peers));
-  EXPECT_TRUE(IsReady(now, true, health, PeerTable()));  // there is nobody else
+  EXPECT_TRUE(IsReady(now, true, health, PeerTable()));  // single-node cluster
   health.NoteStateAnswer(now);
   EXPECT_FALSE(IsReady(now, false, health, peers));
   EXPECT_TRUE(IsReady(now + kSecond, true, health, peers));
 }
 
-TEST(CommitAnswer, TellsTheOutcomesApart) {
+TEST(CommitAnswer, DecodesEachOutcome) {
   const CommitAnswer committed = DecodeCommitAnswer(200, CommitBody(5));
   EXPECT_EQ(committed.outcome, TransactionOutcome::kCommitted);
   EXPECT_EQ(committed.revision, 5u);
@@ -142,7 +142,7 @@
   EXPECT_EQ(DecodeCommitAnswer(200, "\xc1").revision, std::nullopt);
 }
 
-// The stored state of three shards, by hand, and what an election told.
+// Stored state of three shards, and the effects of elections.
 struct FakeShards : LeadershipStore, LeadershipObserver {
   struct Record {
     uint64_t version = 0;
@@ -185,12 +185,12 @@
 
 constexpr uint64_t kBoot = 9;
 
-// The leadership module of node "a" of "a", "b" and "c", to which shard 0 belongs.
+// The leadership module of node "a" of "a", "b" and "c", whose home shard is 0.
 class LeadershipTest : public ::testing::Test {
  protected:
-  // Calls sent since the last time, in order.
+  // Calls sent since the last call, in order.
   std::vector<Call> Calls() { return effects_.TakeOutbox().calls; }
-  // The one call that was sent.
+  // The only call sent.
   Call OnlyCall() {
     std::vector<Call> calls = Calls();
     EXPECT_THAT(calls, SizeIs(1));
@@ -205,7 +205,7 @@
   void OthersLead() {
     for (const int shard_id : {1, 2}) shards_.records[shard_id] = {3, {"b", 1}};
   }
-  // Elects this node leader of its own shard, and of no other, at that revision.
+  // Elects this node for its home shard only, at that revision.
   void LeadOwnShard(uint64_t revision) {
     HoldLease();
     OthersLead();
@@ -229,7 +229,7 @@
   SessionLeaseKeeper lease_{4 * kSecond, &effects_, &health_, &election_};
 };
 
-TEST_F(LeadershipTest, TheSessionLeaseIsAskedForAndRenewed) {
+TEST_F(LeadershipTest, RequestsAndRenewsTheSessionLease) {
   lease_.Tick(now_);
   const Call grant = OnlyCall();
   EXPECT_EQ(grant.target, wire::GrantTarget());
@@ -246,47 +246,47 @@
   EXPECT_TRUE(health_.StateFresh(now_ + 2 * kSecond));
 }
 
-TEST_F(LeadershipTest, AFailedRenewalIsRetriedAndProvesNothing) {
+TEST_F(LeadershipTest, FailedRenewalIsRetriedWithoutLosingLeadership) {
   HoldLease();
   now_ += kSecond;
   for (const int status : {kNoAnswer, kNotSent, 429, 500, 503}) {
     now_ += kSecond;
     lease_.Tick(now_);
     effects_.HandleAnswer(now_, OnlyCall().id, status, "");
-    EXPECT_TRUE(lease_.held());  // nobody said that it ended
+    EXPECT_TRUE(lease_.held());  // no answer is no expiry
     EXPECT_FALSE(health_.StateFresh(now_));
     lease_.Tick(now_ + 250 * kMillisecond - 1);
     EXPECT_THAT(Calls(), IsEmpty());
   }
 }
 
-TEST_F(LeadershipTest, AnUnreadableGrantIsNoLease) {
+TEST_F(LeadershipTest, UnreadableGrantIsNotALease) {
   lease_.Tick(now_);
   effects_.HandleAnswer(now_, OnlyCall().id, 200, "\xc1");
   EXPECT_FALSE(lease_.held());
   EXPECT_FALSE(health_.StateFresh(now_));
 }
 
-TEST_F(LeadershipTest, WithTheSessionLeaseEveryLeadershipEnds) {
+TEST_F(LeadershipTest, LossOfTheSessionLeaseEndsEveryLeadership) {
   LeadOwnShard(5);
   lease_.Tick(now_ + kSecond);
   effects_.HandleAnswer(now_ + kSecond, OnlyCall().id, 404, "");
   EXPECT_FALSE(lease_.held());
   EXPECT_FALSE(election_.IsLeader(0));
   EXPECT_THAT(shards_.losses, ElementsAre(LossReason::kLeaseEnded));
-  EXPECT_EQ(election_.Of(0).epoch, 5u);  // kept, to go on answering reports
+  EXPECT_EQ(election_.Of(0).epoch, 5u);  // kept, to continue answering heartbeats
 }
 
-TEST_F(LeadershipTest, NobodyStandsForElectionWithoutALease) {
+TEST_F(LeadershipTest, NoElectionWithoutASessionLease) {
   election_.Tick(now_);
   EXPECT_THAT(Calls(), IsEmpty());
 }
 
-TEST_F(LeadershipTest, ANodeTakesItsOwnShardAtOnceAndOthersInTurn) {
+TEST_F(LeadershipTest, ElectsItselfForItsHomeShardAtOnceAndForOthersByRingOrder) {
   HoldLease();
   election_.Tick(now_);
-  // Shard 2 belongs to the node before this one in the ring, so this one is the next; for
-  // shard 1 node c comes first.
+  // Shard 2 is the home shard of the previous node in the ring, so this node is next; for shard 1
+  // node c comes first.
   const std::vector<Call> calls = Calls();
   ASSERT_THAT(calls, SizeIs(2));
   EXPECT_TRUE(election_.Of(0).election_in_flight);
@@ -303,7 +303,7 @@
   EXPECT_EQ(election_.LeaderOf(0), "a");
 }
 
-TEST_F(LeadershipTest, AnElectionWaitsForTokensOfTheWriteBudget) {
+TEST_F(LeadershipTest, ElectionWaitsForTheWriteBudget) {
   HoldLease();
   write_budget_.Drain(now_);
   write_budget_.Force(now_, 1000);
@@ -312,7 +312,7 @@
   EXPECT_FALSE(election_.Of(0).election_in_flight);
 }
 
-TEST_F(LeadershipTest, ConflictsBackOffAndMakeTheReplicaBeReadAgain) {
+TEST_F(LeadershipTest, RepeatedConflictsBackOffAndRelistTheReplica) {
   HoldLease();
   OthersLead();
   const std::vector<Micros> pauses = {100 * kMillisecond, 200 * kMillisecond,  400 * kMillisecond,
@@ -324,11 +324,11 @@
     EXPECT_THAT(Calls(), IsEmpty());
     now_ += pause;
   }
-  EXPECT_EQ(shards_.lists, 1);  // after the fourth
+  EXPECT_EQ(shards_.lists, 1);  // after the fourth conflict
   EXPECT_FALSE(election_.IsLeader(0));
 }
 
-TEST_F(LeadershipTest, ARefusedElectionDropsTheLease) {
+TEST_F(LeadershipTest, RefusedElectionDropsTheSessionLease) {
   HoldLease();
   OthersLead();
   election_.Tick(now_);
@@ -337,7 +337,7 @@
   EXPECT_EQ(election_.Of(0).no_election_before, now_ + 100 * kMillisecond);
 }
 
-TEST_F(LeadershipTest, AnElectionWhoseAnswerWasLostCounts) {
+TEST_F(LeadershipTest, ElectionWithALostAnswerTakesEffect) {
   HoldLease();
   OthersLead();
   election_.Tick(now_);
@@ -351,7 +351,7 @@
   EXPECT_EQ(election_.Of(0).epoch, 6u);
 }
 
-TEST_F(LeadershipTest, TheRecordOfTheProcessBeforeIsRenewed) {
+TEST_F(LeadershipTest, RecordOfAnEarlierIncarnationIsReplaced) {
   HoldLease();
   OthersLead();
   shards_.records[0] = {4, {"a", kBoot - 1}};
@@ -360,7 +360,7 @@
   EXPECT_TRUE(election_.Of(0).election_in_flight);
 }
 
-TEST_F(LeadershipTest, AnEpochNeverFalls) {
+TEST_F(LeadershipTest, EpochNeverDecreases) {
   LeadOwnShard(9);
   Erase(0, 10);
   now_ += kSecond;
@@ -371,7 +371,7 @@
   EXPECT_EQ(election_.Of(0).epoch, 9u);
 }
 
-TEST_F(LeadershipTest, ANewerRecordOfAnotherNodeEndsALeadership) {
+TEST_F(LeadershipTest, NewerRecordOfAnotherNodeEndsTheLeadership) {
   LeadOwnShard(5);
   election_.OnRecordPut(now_, 0, {"b", 1}, 6);
   EXPECT_THAT(shards_.losses, ElementsAre(LossReason::kRivalElected));
@@ -379,7 +379,7 @@
   EXPECT_EQ(election_.PreviousLeaderOf(0), "b");
 }
 
-TEST_F(LeadershipTest, APeersNewerEpochEndsALeadershipAndAnOlderOneDoesNot) {
+TEST_F(LeadershipTest, OnlyANewerEpochReportedByAPeerEndsTheLeadership) {
   LeadOwnShard(5);
   election_.OnEpochsReported(now_, {{0, 4, "b"}, {0, 9, "a"}, {7, 9, "b"}});
   EXPECT_TRUE(election_.IsLeader(0));
@@ -391,7 +391,7 @@
   EXPECT_EQ(election_.LeaderOf(0), "b");
 }
 
-TEST_F(LeadershipTest, AnEndedRecordNamesNobody) {
+TEST_F(LeadershipTest, ErasedRecordNamesNoLeader) {
   shards_.records[1] = {5, {"b", 1}};
   election_.OnRecordPut(now_, 1, {"b", 1}, 5);
   EXPECT_EQ(election_.LeaderOf(1), "b");
@@ -399,13 +399,13 @@
   EXPECT_EQ(election_.LeaderOf(1), "");
 }
 
-TEST_F(LeadershipTest, TheEndOfItsRecordEndsALeadership) {
+TEST_F(LeadershipTest, DeletionOfItsRecordEndsTheLeadership) {
   LeadOwnShard(5);
   Erase(0, 6);
   EXPECT_THAT(shards_.losses, ElementsAre(LossReason::kRecordExpired));
 }
 
-TEST_F(LeadershipTest, AMigrationOfTheTableTakesAnElection) {
+TEST_F(LeadershipTest, TableMigrationRequiresAnElection) {
   LeadOwnShard(5);
   shards_.migrate = shards_.commit_in_flight = true;
   election_.Tick(now_);
@@ -415,7 +415,7 @@
   EXPECT_THAT(Calls(), SizeIs(1));
 }
 
-// Node a leads shard 1 as well, which belongs to b.
+// Node a also leads shard 1, the home shard of b.
 class FailbackTest : public LeadershipTest {
  protected:
   void SetUp() override {
@@ -427,54 +427,54 @@
     effects_.HandleAnswer(now_, OnlyCall().id, 200, CommitBody(5));
     ASSERT_TRUE(election_.IsLeader(1));
   }
-  void Ask(const std::string& from) {
+  void SendRequest(const std::string& from) {
     health_.NoteStateAnswer(now_);
     election_.OnShardsWanted(now_, from, {1, 99});
   }
 };
 
-TEST_F(FailbackTest, AShardGoesBackToItsNodeOnDemand) {
+TEST_F(FailbackTest, ShardFailsBackToItsHomeNodeOnRequest) {
   now_ += 5 * kSecond;
-  Ask("c");
-  EXPECT_THAT(Calls(), IsEmpty());  // not c's
-  Ask("b");
+  SendRequest("c");
+  EXPECT_THAT(Calls(), IsEmpty());  // not c's home shard
+  SendRequest("b");
   const Call call = OnlyCall();
-  Ask("b");
-  EXPECT_THAT(Calls(), IsEmpty());  // it is on its way
+  SendRequest("b");
+  EXPECT_THAT(Calls(), IsEmpty());  // the failback is in flight
   effects_.HandleAnswer(now_, call.id, 200, CommitBody(6));
   EXPECT_THAT(shards_.losses, ElementsAre(LossReason::kFailback));
   EXPECT_EQ(election_.Of(1).no_election_before, now_ + 3 * kSecond);
 }
 
-TEST_F(FailbackTest, AShardThatWasNotReleasedIsKept) {
+TEST_F(FailbackTest, LeadershipIsKeptIfTheFailbackFails) {
   now_ += 5 * kSecond;
-  Ask("b");
+  SendRequest("b");
   effects_.HandleAnswer(now_, OnlyCall().id, 409, CommitBody(6));
   EXPECT_TRUE(election_.IsLeader(1));
   EXPECT_FALSE(election_.Of(1).failback_in_flight);
 }
 
-TEST_F(FailbackTest, AShardStaysWhileItsLeaderIsNewOrCommits) {
+TEST_F(FailbackTest, NoFailbackWhileTheLeaderIsNewOrCommitting) {
   now_ += 5 * kSecond - 1;
-  Ask("b");
+  SendRequest("b");
   EXPECT_THAT(Calls(), IsEmpty());
   now_ += 1;
   shards_.commit_in_flight = true;
-  Ask("b");
+  SendRequest("b");
   EXPECT_THAT(Calls(), IsEmpty());
 }
 
-TEST_F(FailbackTest, AShardStaysWhileManyMachinesAreSilentButNotForEver) {
+TEST_F(FailbackTest, SilentMachinesDelayTheFailbackForABoundedTime) {
   shards_.many_silent = true;
   now_ += 60 * kSecond - 1;
-  Ask("b");
+  SendRequest("b");
   EXPECT_THAT(Calls(), IsEmpty());
   now_ += 1;
-  Ask("b");
+  SendRequest("b");
   EXPECT_THAT(Calls(), SizeIs(1));
 }
 
-TEST_F(FailbackTest, ANodeWantsItsShardOnceItHasBeenHealthy) {
+TEST_F(FailbackTest, FailbackIsRequestedOnlyAfterAHealthyPeriod) {
   auto wanted = [this] {
     mesh::Heartbeat heartbeat;
     election_.FillWantedShards(now_, &heartbeat);
@@ -482,17 +482,17 @@
   };
   health_.NoteStateAnswer(now_);
   EXPECT_THAT(wanted(), ElementsAre(0));
-  health_.BeginTick(now_ + 2 * kSecond);  // without the state service
+  health_.BeginTick(now_ + 2 * kSecond);  // without the store
   health_.NoteStateAnswer(now_ + 2 * kSecond);
   now_ += 3 * kSecond;
   EXPECT_THAT(wanted(), IsEmpty());
-  shards_.records[0].version = 0;  // nobody to have it back from
+  shards_.records[0].version = 0;  // no leader to request it from
   health_.NoteStateAnswer(now_ + 60 * kSecond);
   now_ += 60 * kSecond;
   EXPECT_THAT(wanted(), IsEmpty());
 }
 
-// Machines m0 to m2 are this node's, and others are machines of peers.
+// Machines m0 to m2 belong to this node, others to peers.
 struct FakeMachines : MachineStatusSource, PeerReportListener {
   uint64_t ReplicaRevision() const override { return 12; }
   std::vector<mesh::SilentMachine> SilentMachines(Micros /*now*/, size_t /*limit*/) const override {
@@ -555,7 +555,7 @@
   EXPECT_THAT(Messages(), SizeIs(2));
 }
 
-TEST_F(HeartbeatTest, NewsThatUsersAreToldOfGoesOutAtTheNextTick) {
+TEST_F(HeartbeatTest, RequestedHeartbeatIsSentAtTheNextTick) {
   heartbeats_.Tick(now_);
   Messages();
   heartbeats_.SendNextTick(now_ + 1);
@@ -563,7 +563,7 @@
   EXPECT_THAT(Messages(), SizeIs(2));
 }
 
-TEST_F(HeartbeatTest, CachedImagesGoOutInPartsEveryTwoSeconds) {
+TEST_F(HeartbeatTest, CachedImagesAreSentInPagesEveryTwoSeconds) {
   auto images_at = [this](Micros time) {
     heartbeats_.Tick(time);
     return PingOf(Messages().at(0)).cached_images;
@@ -574,7 +574,7 @@
   EXPECT_THAT(images_at(now_ + 4 * kSecond), ElementsAre(mesh::CachedImages{"m0", {"web"}}));
 }
 
-TEST_F(HeartbeatTest, APingIsAnsweredWithItsNumber) {
+TEST_F(HeartbeatTest, PingIsAnsweredWithItsSequenceNumber) {
   cancellations_.AddCommitted(8, "old");
   cancellations_.AddCommitted(9, "new");
   mesh::HeartbeatRequest ping;
@@ -590,7 +590,7 @@
   EXPECT_EQ(peers_.At("b").last_heard, now_);
 }
 
-TEST_F(HeartbeatTest, APongProvesWhichCancellationsAreKnown) {
+TEST_F(HeartbeatTest, PongExtendsTheBoundOfKnownCancellations) {
   cancellations_.ReplicaCompleteUpTo(now_ - 10 * kSecond);
   heartbeats_.Tick(now_);
   for (const PeerMessage& message : Messages()) {
@@ -604,7 +604,7 @@
   EXPECT_EQ(cancellations_.KnownUpTo(now_ + kSecond), now_);
 }
 
-TEST_F(HeartbeatTest, AMachineIsSilentUntilItsLeaderHearsItAgain) {
+TEST_F(HeartbeatTest, MachineIsSilentUntilItsLeaderHearsItAgain) {
   mesh::HeartbeatReply pong;
   pong.silent_machines = {{"m1", 5}, {"x", ~uint64_t{0}}, {"y", 6}};
   heartbeats_.OnPong(now_, "b", pong);
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -1,6 +1,5 @@
-// What tests of the runtime share: an event loop that runs until something has happened and a
-// TCP client that sees the bytes as they are. Nothing sleeps: the loop waits for events only,
-// and ports are chosen by the system.
+// Helpers of the runtime tests: an event loop that runs until a condition holds, and a raw TCP
+// client. Nothing sleeps; ports are chosen by the system.
 #ifndef TROUTLINK_TESTS_LOOPBACK_H_
 #define TROUTLINK_TESTS_LOOPBACK_H_
 
@@ -15,12 +14,12 @@
 
 namespace troutlink::test {
 
-// To listen at a free port.
+// Listens on a free port.
 Endpoint AnyLoopbackPort();
-// An endpoint that refuses connections: its port was free a moment ago.
+// An endpoint that refuses connections.
 Endpoint RefusingEndpoint();
 
-// A loop of its own.
+// An event loop.
 class EventLoop {
  public:
   EventLoop() : loop_(ev_loop_new(EVFLAG_AUTO)) {}
@@ -29,23 +28,23 @@
   EventLoop& operator=(const EventLoop&) = delete;
 
   ev::loop_ref ref() { return loop_; }
-  // Handles events until `done` holds; false when it does not within ten seconds.
+  // Handles events until `done` holds. Returns false if it does not within ten seconds.
   [[nodiscard]] bool RunUntil(const std::function<bool()>& done);
-  // Handles the events that have happened already.
+  // Handles pending events.
   void RunReady() { ev_run(loop_, EVRUN_NOWAIT); }
 
  private:
   struct ev_loop* loop_;
 };
 
-// A TCP client that collects what it receives.
+// TCP client that collects received bytes.
 class RawClient {
  public:
-  // Connects to `to` and waits until the connection is open.
+  // Connects to `to` and waits for the connection.
   RawClient(EventLoop& loop, const Endpoint& to);
 
   void SendText(std::string_view text);
-  // Runs the loop until `text` is in what was received; false when the connection ends before.
+  // Runs the loop until `text` was received. Returns false if the connection ends before.
   [[nodiscard]] bool Receives(std::string_view text);
   // Runs the loop until the other side has closed the connection.
   [[nodiscard]] bool IsClosed();
--- a/tests/mesh_codec_units_test.cc
+++ b/tests/mesh_codec_units_test.cc
@@ -1,4 +1,4 @@
-// Units of src/mesh: the binary form of the messages between controllers.
+// Unit tests of src/mesh: the encoding of peer messages.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -22,7 +22,7 @@
 using testing::Optional;
 using testing::VariantWith;
 
-// The content of the only frame in `bytes`.
+// Content of the only frame in `bytes`.
 std::string ContentOf(const std::string& bytes) {
   Framer framer;
   framer.Feed(bytes);
@@ -33,7 +33,7 @@
   return content;
 }
 
-// A heartbeat with all fields filled.
+// A heartbeat with all fields set.
 Heartbeat FullHeartbeat() {
   Heartbeat heartbeat;
   heartbeat.seq = 300;
@@ -54,18 +54,18 @@
   return ping;
 }
 
-TEST(MeshCodec, ReadsBackAPing) {
+TEST(MeshCodec, RoundTripsAHeartbeatRequest) {
   EXPECT_THAT(Decode(ContentOf(Encode(FullPing()))),
               Optional(VariantWith<HeartbeatRequest>(FullPing())));
 }
 
-TEST(MeshCodec, ReadsBackAPong) {
+TEST(MeshCodec, RoundTripsAHeartbeatReply) {
   HeartbeatReply pong;
   static_cast<Heartbeat&>(pong) = FullHeartbeat();
   EXPECT_THAT(Decode(ContentOf(Encode(pong))), Optional(VariantWith<HeartbeatReply>(pong)));
 }
 
-TEST(MeshCodec, ReadsBackARelayAndItsReply) {
+TEST(MeshCodec, RoundTripsARelayedHeartbeatAndItsReply) {
   const RelayedAgentHeartbeat relay{7, "report"};
   EXPECT_THAT(Decode(ContentOf(Encode(relay))),
               Optional(VariantWith<RelayedAgentHeartbeat>(relay)));
@@ -74,14 +74,14 @@
               Optional(VariantWith<RelayedAgentHeartbeatReply>(reply)));
 }
 
-TEST(MeshCodec, ReadsBackAForwardAndItsReply) {
+TEST(MeshCodec, RoundTripsAForwardedRequestAndItsResponse) {
   const ForwardedRequest forward{8, "POST", "/api/jobs", "job"};
   EXPECT_THAT(Decode(ContentOf(Encode(forward))), Optional(VariantWith<ForwardedRequest>(forward)));
   const ForwardedResponse reply{8, 503, 2, "error"};
   EXPECT_THAT(Decode(ContentOf(Encode(reply))), Optional(VariantWith<ForwardedResponse>(reply)));
 }
 
-TEST(MeshCodec, WritesMessagesToTheByte) {
+TEST(MeshCodec, EncodesMessagesToTheExpectedBytes) {
   EXPECT_EQ(Encode(RelayedAgentHeartbeat{7, "ab"}), std::string("\x05\x02\x07\x02") + "ab");
   EXPECT_EQ(Encode(ForwardedResponse{8, 200, 0, "x"}),
             std::string("\x07\x05\x08\xc8\x01\x00\x01x", 8));
@@ -93,7 +93,7 @@
   }
 }
 
-TEST(MeshCodec, RefusesMessagesCutShort) {
+TEST(MeshCodec, RefusesTruncatedMessages) {
   const std::string content = ContentOf(Encode(FullPing()));
   for (size_t size = 0; size < content.size(); ++size) {
     EXPECT_THAT(Decode(std::string_view(content).substr(0, size)), Eq(std::nullopt)) << size;
@@ -120,7 +120,7 @@
   }
 }
 
-TEST(MeshVarints, ReadBackWhatTheyWrote) {
+TEST(MeshVarints, RoundTrip) {
   for (const uint64_t value : {uint64_t{0}, uint64_t{127}, uint64_t{128}, uint64_t{1} << 62,
                                std::numeric_limits<uint64_t>::max()}) {
     std::string text;
@@ -133,7 +133,7 @@
   }
 }
 
-TEST(MeshVarints, RefuseWhatEndsEarlyOrDoesNotFit64Bits) {
+TEST(MeshVarints, RefuseTruncatedOrOversizedNumbers) {
   const std::string nine(9, '\xff');
   for (const std::string& bad :
        {std::string(), std::string("\x80"), nine, nine + "\x02", nine + "\x81\x01"}) {
@@ -161,7 +161,7 @@
   }
 }
 
-// Whether the framer refuses a stream that begins with `bytes`.
+// Whether the framer refuses a stream that starts with `bytes`.
 bool Refused(const std::string& bytes) {
   Framer framer;
   framer.Feed(bytes);
@@ -171,7 +171,7 @@
   return bad;
 }
 
-TEST(MeshFramer, RefusesALengthThatIsNoVarint) {
+TEST(MeshFramer, RefusesAMalformedLength) {
   EXPECT_TRUE(Refused(std::string(10, '\xff')));
   EXPECT_FALSE(Refused(std::string(9, '\xff')));
 }
--- a/tests/permits_units_test.cc
+++ b/tests/permits_units_test.cc
@@ -1,4 +1,4 @@
-// Each permit and each reason of a refusal (src/core/permits.h).
+// Unit tests of permits (src/core/leadership/permits.h).
 #include <gtest/gtest.h>
 
 #include "core/leadership/permits.h"
@@ -18,7 +18,7 @@
   return facts;
 }
 
-// The refusal of a start that differs from an allowed one by `change`.
+// The refusal of a start after `change` to otherwise sufficient facts.
 template <typename Change>
 Refusal RefusalOf(const Change& change) {
   StartFacts facts = Startable();
@@ -28,7 +28,7 @@
   return judged.error().code;
 }
 
-TEST(Permits, AStartNeedsEveryFact) {
+TEST(Permits, StartRequiresEveryFact) {
   EXPECT_TRUE(Startable().Evaluate());
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->is_leader = false; }), Refusal::kNotLeader);
   EXPECT_EQ(RefusalOf([](StartFacts* f) { f->assigned = false; }), Refusal::kNotAssigned);
@@ -45,7 +45,7 @@
             Refusal::kCancellationsStale);
 }
 
-TEST(Permits, OnlyWhatOneCommitDecidedCountsAsAViolation) {
+TEST(Permits, OnlyFactsDecidedByTheCommitCountAsViolations) {
   EXPECT_EQ(ViolationOf(Refusal::kNotLeader), Violation::kStartWithoutLeadership);
   EXPECT_EQ(ViolationOf(Refusal::kNotAssigned), Violation::kStartUnassigned);
   EXPECT_EQ(ViolationOf(Refusal::kJobBlocked), Violation::kStartBlocked);
@@ -56,16 +56,16 @@
   }
 }
 
-TEST(Permits, ALeaseIsRenewedBeforeTheBoundAlone) {
+TEST(Permits, LeaseIsRenewedOnlyBeforeTheBound) {
   EXPECT_TRUE((RenewalFacts{kNow, kNow + 1, 0}.Evaluate()));
   EXPECT_FALSE((RenewalFacts{kNow, kNow, 0}.Evaluate()));
-  // On behalf of another node, what that one has under way takes its time.
+  // On behalf of another node, allow for commands in flight.
   EXPECT_TRUE((RenewalFacts{kNow, kNow + 2 * kSecond + 1, 2 * kSecond}.Evaluate()));
   EXPECT_FALSE((RenewalFacts{kNow, kNow + 2 * kSecond, 2 * kSecond}.Evaluate()));
   EXPECT_EQ((RenewalFacts{kNow, 0, 0}.Evaluate().error().code), Refusal::kCancellationsStale);
 }
 
-TEST(Permits, AnOpenJobIsToldBySomeoneWhoKnowsItsDependencies) {
+TEST(Permits, OpenAnswerRequiresCurrentDependencies) {
   constexpr Micros kMost = 20 * kSecond;
   EXPECT_TRUE((OpenAnswerFacts{KnownJobState::kOpen, false, 90 * kSecond, kMost}.Evaluate()));
   EXPECT_TRUE((OpenAnswerFacts{KnownJobState::kBlocked, true, kMost - 1, kMost}.Evaluate()));
@@ -77,7 +77,7 @@
             Refusal::kJobUnknown);
 }
 
-TEST(Permits, CountsAreKeptApartByReason) {
+TEST(Permits, CountsEachReasonSeparately) {
   EnumCounter<Refusal, kRefusals> refusals;
   refusals.Add(Refusal::kJobFinished);
   refusals.Add(Refusal::kJobFinished);
--- a/tests/rule_checker.h
+++ b/tests/rule_checker.h
@@ -1,4 +1,4 @@
-// Checks the rules from the workers' and the users' side, without asking any core.
+// Checks the rules from outside the cores, on agents and users.
 #ifndef TROUTLINK_TESTS_RULE_CHECKER_H_
 #define TROUTLINK_TESTS_RULE_CHECKER_H_
 
@@ -10,69 +10,68 @@
 
 #include "config/settings.h"
 #include "core/store/records.h"
+#include "fake_agent.h"
 #include "fake_state.h"
-#include "fake_worker.h"
 #include "users.h"
 
 namespace troutlink::test {
 
-// Judges what the fakes see:
-//   ran_twice      a task begins while it runs on another machine
-//   quota          a team uses more than its limit
-//   wrong_place    a task begins on a machine that its job does not allow
-//   ran_cancelled  a task begins or runs later than `cancel_s` after its user was told
-//   forgotten      a job that was accepted is unknown or refused later
-//   invented       a job is answered for that nobody submitted
-//   not_done       a job is called done before all of its tasks have a result
-//   went_back      an answer contradicts one that a user had before, or a cancellation is told
-//                  that no user asked for, of the job or of one that it depends on
-//   too_early      a task starts before all jobs that its job depends on are done
-//   orphaned       a job is called queued or running later than `cancel_s` after its user was
-//                  told that a job that it depends on is cancelled
-//   unassigned     a task is on a machine, not ended, longer than UnassignedBound() after the last
-//                  moment at which an assignment table in the state service held its attempt
+// Checks the state of the fakes for violations:
+// - ran_twice: a task starts while it runs on another machine
+// - quota: a team uses more than its limit
+// - wrong_place: a task starts on a machine that its job does not allow
+// - ran_cancelled: a task starts or runs more than `cancel_s` after its user learned of the
+// cancellation
+// - forgotten: an accepted job is later unknown or refused
+// - invented: a response about a job that was not submitted
+// - not_done: a job is reported as done before all of its tasks have finished
+// - went_back: a response contradicts an earlier one to the same user, or reports a cancellation
+// that no user requested, of the job or of a dependency
+// - too_early: a task starts before all dependencies of its job are done
+// - orphaned: a job is reported as queued or running more than `cancel_s` after its user learned
+// that a dependency was cancelled
+// - unassigned: a task that has not exited is on a machine for longer than UnassignedBound() after
+// an assignment table last contained its attempt
 class RuleChecker {
  public:
-  // All of these must outlive it.
-  RuleChecker(const Settings& settings, const Users& users, const Workers& workers,
+  // All arguments must outlive it.
+  RuleChecker(const Settings& settings, const Users& users, const Agents& agents,
               const std::set<std::pair<std::string, int>>& results, const FakeState& state);
 
-  // A task that no table holds is stopped by its leader in the answer to the next report. Where
-  // no leader is heard its lease may be renewed for as long as that of a cancelled task, until
-  // `cancel_s` after the last word of the state service, and then runs out; a worker's round of
-  // all nodes comes before.
+  // The leader stops a task that no table contains in its next heartbeat reply. Without a leader,
+  // its lease may be renewed as long as that of a cancelled task, until `cancel_s` after the last
+  // answer of the store, and then expires.
   Micros UnassignedBound() const { return settings_.cancellation_deadline + settings_.agent_lease; }
 
-  // A task begins to run on that machine.
-  void OnStart(Micros now, const FakeWorker& on, const std::string& job, int task);
-  // A user is told something: called before the users take it in.
-  void OnAnswer(const UserAnswer& answer);
-  // Looks at everything that runs at this moment.
+  // A task starts to run on the machine.
+  void OnStart(Micros now, const FakeAgent& on, const std::string& job, int task);
+  // A user receives a response; called before Users records it.
+  void OnAnswer(const UserReply& answer);
+  // Checks all running tasks.
   void CheckRunning(Micros now);
-  // Looks for tasks that no assignment table holds.
+  // Checks for tasks that no assignment table contains.
   void CheckAssigned(Micros now);
-  // Notes a broken rule. The same one is noticed at many steps and noted once.
-  void Break(const std::string& what);
+  // Records a violation, once however often it is seen.
+  void AddViolation(const std::string& what);
 
-  // Every rule that was broken, with its job, in order.
-  std::vector<std::string> broken;
-  // Starts of tasks whose job's user had been told of its cancellation: each is allowed
-  // until `cancel_s` after the telling, and unwelcome.
+  // All violations with their jobs, in order.
+  std::vector<std::string> violations;
+  // Starts after the user learned of the job's cancellation, which are allowed for `cancel_s`.
   int starts_after_cancel = 0;
 
  private:
   const Settings& settings_;
   const Users& users_;
-  const Workers& workers_;
+  const Agents& agents_;
   const std::set<std::pair<std::string, int>>& results_;
   const FakeState& state_;
-  // A machine, and an attempt on it or in its assignment table.
+  // A machine and an attempt on it or in its assignment table.
   using Assigned = std::pair<std::string, Attempt>;
   void ReadAssigned();
 
-  uint64_t assigned_revision_ = 0;               // of the state service, when tables were read
-  std::set<Assigned> assigned_;                  // by any table
-  std::map<Assigned, Micros> unassigned_since_;  // tasks that no table holds
+  uint64_t assigned_revision_ = 0;               // of the store, when the tables were read
+  std::set<Assigned> assigned_;                  // in any table
+  std::map<Assigned, Micros> unassigned_since_;  // tasks that no table contains
 };
 
 }  // namespace troutlink::test
--- a/tests/runtime_http_units_test.cc
+++ b/tests/runtime_http_units_test.cc
@@ -1,5 +1,5 @@
-// Units of src/runtime over HTTP: the server, the client and the dispatcher of the core's outbox.
-// Time passes through the argument of Tick().
+// Unit tests of src/runtime over HTTP: the server, the client and the dispatcher. Time passes
+// through the argument of Tick().
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -24,7 +24,7 @@
 
 constexpr Micros kCallTimeout = 5 * kSecond;
 
-// A server that keeps its requests and answers when it is told to, or at once.
+// A server that keeps its requests and replies on demand or at once.
 class TestServer {
  public:
   explicit TestServer(EventLoop& loop, size_t max_connections = 100)
@@ -84,7 +84,7 @@
   EXPECT_EQ(server.server.connections(), 0U);
 }
 
-TEST(HttpServer, RefusesWhatIsNotHttp) {
+TEST(HttpServer, RefusesInvalidHttp) {
   EventLoop loop;
   TestServer server(loop);
   RawClient client(loop, server.address);
@@ -94,7 +94,7 @@
   EXPECT_TRUE(server.requests.empty());
 }
 
-TEST(HttpServer, RefusesAConnectionTooManyWith503) {
+TEST(HttpServer, RefusesExcessConnectionsWith503) {
   EventLoop loop;
   TestServer server(loop, 1);
   server.answer_at_once = false;
@@ -105,13 +105,13 @@
   EXPECT_TRUE(second.IsClosed());
   EXPECT_EQ(second.received().rfind("HTTP/1.1 503", 0), 0U) << second.received();
   EXPECT_NE(second.received().find("Retry-After: 1"), std::string::npos) << second.received();
-  // The first gets its reply. More than nine tenths of the connections are taken: it is closed.
+  // The first gets its reply. More than nine tenths of the connections are used, so it is closed.
   server.Answer(0);
   EXPECT_TRUE(first.Receives("re:"));
   EXPECT_TRUE(first.IsClosed());
 }
 
-TEST(HttpServer, IgnoresTheReplyToAClientThatHungUp) {
+TEST(HttpServer, IgnoresTheReplyToADisconnectedClient) {
   EventLoop loop;
   TestServer server(loop);
   server.answer_at_once = false;
@@ -167,7 +167,7 @@
   EXPECT_EQ(client.client.connections(), 0U);
 }
 
-TEST(HttpClient, OpensAsManyConnectionsAsThePoolMayHave) {
+TEST(HttpClient, OpensConnectionsUpToThePoolLimit) {
   EventLoop loop;
   TestServer server(loop);
   server.answer_at_once = false;
@@ -180,7 +180,7 @@
   EXPECT_EQ(client.results.size(), 1U);
 }
 
-TEST(HttpClient, SharesTheLimitOverAllEndpointsButForExemptOnes) {
+TEST(HttpClient, SharesTheLimitOverAllEndpointsExceptExemptOnes) {
   EventLoop loop;
   TestServer first(loop);
   TestServer second(loop);
@@ -192,14 +192,14 @@
   EXPECT_EQ(client.client.connections(), 2U) << "the second endpoint waits";
   ASSERT_TRUE(loop.RunUntil([&] { return client.results.size() == 2; }));
   EXPECT_TRUE(second.requests.empty());
-  // Closes the first endpoint's idle connection for the second.
+  // Closes the first endpoint's idle connection to open one for the second.
   client.client.Tick(SteadyNow());
   ASSERT_TRUE(loop.RunUntil([&] { return client.results.size() == 3; }));
   EXPECT_EQ(client.results[2].call_id, 2U);
   EXPECT_EQ(client.client.connections(), 2U);
 }
 
-TEST(HttpClient, TellsCallsThatWereNotSentFromThoseWithoutAnswer) {
+TEST(HttpClient, DistinguishesUnsentFromUnansweredCalls) {
   EventLoop loop;
   TestServer server(loop);
   server.answer_at_once = false;
@@ -216,14 +216,14 @@
   ASSERT_EQ(client.results.size(), 2U);
   EXPECT_EQ(client.results[1].call_id, 2U);
   EXPECT_EQ(client.results[1].status, kNoAnswer);
-  // The other call has got a new connection in the meantime, which is not open yet.
+  // The other call has a new connection meanwhile, which is not open yet.
   client.client.Tick(late);
   ASSERT_EQ(client.results.size(), 3U);
   EXPECT_EQ(client.results[2].call_id, 3U);
   EXPECT_EQ(client.results[2].status, kNotSent);
 }
 
-TEST(HttpClient, NoAnswerWhenTheServerHangsUp) {
+TEST(HttpClient, ReportsNoAnswerWhenTheServerDisconnects) {
   EventLoop loop;
   TestClient client(loop);
   auto server = std::make_unique<TestServer>(loop);
@@ -236,12 +236,12 @@
   EXPECT_EQ(client.client.connections(), 0U);
 }
 
-TEST(HttpClient, GivesUpTheOldestOfTooManyQueuedCalls) {
+TEST(HttpClient, FailsTheOldestOfTooManyQueuedCalls) {
   EventLoop loop;
   TestServer server(loop);
   server.answer_at_once = false;
   TestClient client(loop);
-  // One is sent, 256 may wait and two are too many.
+  // One is sent, 256 may wait, and two are too many.
   for (uint64_t id = 1; id <= 259; ++id) client.Send(server.address, id);
   client.client.Tick(SteadyNow());
   ASSERT_EQ(client.results.size(), 2U);
@@ -250,12 +250,12 @@
   EXPECT_EQ(client.results[1].status, kNotSent);
 }
 
-// Everything that the dispatcher sends on.
+// The dispatcher and its destinations.
 struct DispatcherTest : testing::Test {
   EventLoop loop;
   TestServer state{loop};
   TestServer cloud{loop};
-  TestServer worker{loop};
+  TestServer agent{loop};
   TestServer own{loop};
   TestClient client{loop};
   PeerTransport peers{loop.ref(), "a", {}, [](const std::string&, const mesh::Message&) {}};
@@ -277,19 +277,19 @@
 TEST_F(DispatcherTest, SendsCallsToTheirDestinations) {
   Outbox outbox;
   outbox.calls = {MakeCall(1, Dest::kState), MakeCall(2, Dest::kWatch), MakeCall(3, Dest::kCloud),
-                  MakeCall(4, Dest::kWorker, worker.address.text)};
+                  MakeCall(4, Dest::kAgent, agent.address.text)};
   dispatcher->Dispatch(outbox);
   ASSERT_TRUE(loop.RunUntil([&] { return client.results.size() == 4; }));
   EXPECT_EQ(state.requests.size(), 2U);
   ASSERT_EQ(cloud.requests.size(), 1U);
   EXPECT_EQ(cloud.requests[0].body, "3");
-  ASSERT_EQ(worker.requests.size(), 1U);
-  EXPECT_EQ(worker.requests[0].body, "4");
+  ASSERT_EQ(agent.requests.size(), 1U);
+  EXPECT_EQ(agent.requests[0].body, "4");
 }
 
-TEST_F(DispatcherTest, ReportsACallToAnAddressThatIsNone) {
+TEST_F(DispatcherTest, ReportsACallToAnInvalidAddress) {
   Outbox outbox;
-  outbox.calls = {MakeCall(7, Dest::kWorker, "nowhere")};
+  outbox.calls = {MakeCall(7, Dest::kAgent, "nowhere")};
   dispatcher->Dispatch(outbox);
   ASSERT_EQ(client.results.size(), 1U);
   EXPECT_EQ(client.results[0].call_id, 7U);
--- a/tests/runtime_peers_units_test.cc
+++ b/tests/runtime_peers_units_test.cc
@@ -1,4 +1,4 @@
-// Units of the transport between controllers, over loopback.
+// Unit tests of the peer transport, over loopback.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -27,7 +27,7 @@
   mesh::Message message;
 };
 
-// The transport of the controller `b` with the peer `a`, whose address does not matter to it.
+// The transport of controller `b` with peer `a`, whose address is irrelevant.
 class Receiver {
  public:
   explicit Receiver(EventLoop& loop)
@@ -45,7 +45,7 @@
   std::vector<Received> received;
 };
 
-// A peer that accepts connections and reads nothing from them by itself.
+// A peer that accepts connections and reads only on request.
 class AcceptingPeer {
  public:
   explicit AcceptingPeer(EventLoop& loop)
@@ -85,7 +85,7 @@
   }
 }
 
-TEST(PeerTransport, ClosesConnectionsOfStrangersAndMalformedOnes) {
+TEST(PeerTransport, ClosesUnknownAndMalformedConnections) {
   EventLoop loop;
   Receiver receiver(loop);
   RawClient stranger(loop, receiver.address);
@@ -128,20 +128,20 @@
   EXPECT_EQ(bytes, expected);
 }
 
-TEST(OutgoingPeerConnection, ClosesAConnectionThatTakesNoBytes) {
+TEST(OutgoingPeerConnection, ClosesAStalledConnection) {
   EventLoop loop;
   AcceptingPeer peer(loop);
   OutgoingPeerConnection connection(loop.ref(), "a", peer.address);
   connection.Send(MakeMessage(1));
   ASSERT_TRUE(loop.RunUntil([&] { return peer.accepted.size() == 1; }));
   loop.RunReady();
-  // More than the sockets of both sides hold, so that bytes are left; then nothing is read.
+  // More than the socket buffers of both sides hold; nothing is read.
   const mesh::Message large = mesh::RelayedAgentHeartbeat{2, std::string(size_t{200} * 1024, 'x')};
   for (int count = 0; count < 100; ++count) connection.Send(large);
   connection.Tick(SteadyNow() + kSecond);
   EXPECT_TRUE(peer.accepted.size() == 1);
   connection.Tick(SteadyNow() + 3 * kSecond);
-  // What was sent can still be read; after it comes the end.
+  // Sent bytes can still be read; then the connection ends.
   SocketError error = SocketError::kWouldBlock;
   ASSERT_TRUE(loop.RunUntil([&] {
     std::array<char, kReadBytes> buffer{};
--- a/tests/runtime_sockets_units_test.cc
+++ b/tests/runtime_sockets_units_test.cc
@@ -1,4 +1,5 @@
-// Units of src/runtime without a protocol: descriptors, sockets, buffers, the listener, budgets.
+// Unit tests of src/runtime without a protocol: descriptors, sockets, buffers, the listener,
+// budgets.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -34,7 +35,7 @@
   return {UniqueFd(fds[0]), UniqueFd(fds[1])};
 }
 
-// All bytes that `fd` holds now.
+// All bytes available on `fd`.
 std::string ReadAll(int fd) {
   std::string bytes;
   std::array<char, kReadBytes> buffer{};
@@ -42,7 +43,7 @@
   return bytes;
 }
 
-// Notes when a descriptor is writable.
+// Records when a descriptor becomes writable.
 class WritableWatch {
  public:
   WritableWatch(EventLoop& loop, int fd) : watcher_(loop.ref()) {
@@ -61,7 +62,7 @@
   ev::io watcher_;
 };
 
-TEST(UniqueFd, ClosesWhatItOwnsAndNothingElse) {
+TEST(UniqueFd, ClosesOnlyWhatItOwns) {
   auto [first, second] = SocketPair();
   const int first_fd = first.get();
   const int second_fd = second.get();
@@ -77,7 +78,7 @@
   EXPECT_FALSE(taken);
 }
 
-TEST(Socket, ListensAtAPortOfTheSystemsChoiceAndNotTwice) {
+TEST(Socket, ListensOnAChosenPortOnlyOnce) {
   const auto listener = Listen(AnyLoopbackPort());
   ASSERT_TRUE(listener) << listener.error().text;
   const auto address = LocalEndpoint(listener->get());
@@ -101,7 +102,7 @@
   EXPECT_EQ(NameOf(none.error().code), "would_block");
 }
 
-TEST(Socket, ReceivesWhatWasSentThenTheEnd) {
+TEST(Socket, ReceivesSentBytesThenTheEnd) {
   auto [sender, receiver] = SocketPair();
   std::array<char, 16> buffer{};
   const auto nothing = Receive(receiver.get(), buffer);
@@ -117,10 +118,10 @@
   const auto end = Receive(receiver.get(), buffer);
   ASSERT_FALSE(end);
   EXPECT_EQ(NameOf(end.error().code), "closed");
-  // No signal ends the test here.
-  const auto broken = Send(receiver.get(), "late");
-  ASSERT_FALSE(broken);
-  EXPECT_EQ(broken.error().code, SocketError::kFailed);
+  // No SIGPIPE ends the test.
+  const auto violations = Send(receiver.get(), "late");
+  ASSERT_FALSE(violations);
+  EXPECT_EQ(violations.error().code, SocketError::kFailed);
 }
 
 TEST(Socket, OutcomeOfConnecting) {
@@ -137,7 +138,7 @@
   EXPECT_EQ(ConnectOutcome(refused->get()), std::errc::connection_refused);
 }
 
-TEST(WriteBuffer, KeepsWhatTheSocketDoesNotTake) {
+TEST(WriteBuffer, KeepsUnsentBytes) {
   auto [sender, receiver] = SocketPair();
   const std::string large(size_t{4} * 1024 * 1024, 'x');
   WriteBuffer buffer;
@@ -159,7 +160,7 @@
   EXPECT_EQ(received, large + "end");
 }
 
-TEST(WriteBuffer, AssignReplacesAndClearForgets) {
+TEST(WriteBuffer, AssignReplacesAndClearDropsTheContent) {
   auto [sender, receiver] = SocketPair();
   WriteBuffer buffer;
   buffer.Append("first");
@@ -195,7 +196,7 @@
   EXPECT_FALSE(other.Open(*address));
 }
 
-TEST(SocketBudget, SharesTheDescriptors) {
+TEST(SocketBudget, DistributesTheDescriptors) {
   const SocketBudget usual = BudgetOf(1024);
   EXPECT_EQ(usual.to_workers, 170U);
   EXPECT_EQ(usual.incoming, 1024U - 170U - 64U);
@@ -204,7 +205,7 @@
   EXPECT_EQ(least.incoming, 16U);
 }
 
-TEST(Clock, SteadyTimeDoesNotGoBack) {
+TEST(Clock, SteadyTimeIsMonotonic) {
   const Micros before = SteadyNow();
   EXPECT_GE(SteadyNow(), before);
   // 2020: the wall clock counts from 1970.
--- a/tests/settings_units_test.cc
+++ b/tests/settings_units_test.cc
@@ -1,4 +1,4 @@
-// Units of src/config: the platform's settings, the operators' settings and addresses.
+// Unit tests of src/config.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -24,7 +24,7 @@
 using testing::IsEmpty;
 using testing::Optional;
 
-// A good settings file with all fields.
+// A valid settings file with all fields.
 Json PlatformDocument() {
   return Json::parse(R"({
     "label": "node-2", "area": "z1", "serve_on": "10.0.0.2:8080", "mesh_addr": "10.0.0.2:8081",
@@ -45,7 +45,7 @@
     }})");
 }
 
-// What becomes of the good settings file with the value at `pointer` replaced.
+// Parses the valid settings file with the value at `pointer` replaced.
 Result<Settings, SettingsFault> ParsedWith(const char* pointer, const Json& value) {
   Json document = PlatformDocument();
   document[Json::json_pointer(pointer)] = value;
@@ -61,7 +61,7 @@
   EXPECT_EQ(parsed->FindTeam("green"), nullptr);
 }
 
-TEST(PlatformSettings, AreReadInFull) {
+TEST(PlatformSettings, ReadAllFields) {
   const auto parsed = ParseSettings(PlatformDocument().dump());
   ASSERT_THAT(parsed, HoldsValue());
   EXPECT_THAT(*parsed, AllOf(Field(&Settings::label, "node-2"), Field(&Settings::zone, "z1"),
@@ -81,7 +81,7 @@
   EXPECT_EQ(parsed->peers.at(0).zone, "z2");
 }
 
-TEST(PlatformSettings, HoldQuotasInThousandths) {
+TEST(PlatformSettings, ConvertQuotasToThousandths) {
   const auto parsed = ParseSettings(PlatformDocument().dump());
   ASSERT_THAT(parsed, HoldsValue());
   EXPECT_THAT(parsed->teams,
@@ -90,7 +90,7 @@
                                 Field(&Team::gpus_max, 4000))));
 }
 
-TEST(PlatformSettings, HoldTheObjectivesThatAreObjects) {
+TEST(PlatformSettings, IgnoreObjectivesThatAreNotObjects) {
   const auto parsed = ParseSettings(PlatformDocument().dump());
   ASSERT_THAT(parsed, HoldsValue());
   using Kind = Objective::Kind;
@@ -104,14 +104,14 @@
                   Field(&Objective::kind, Kind::kOther)));
 }
 
-TEST(PlatformSettings, MayHaveNoObjectives) {
+TEST(PlatformSettings, AllowMissingObjectives) {
   Json document = PlatformDocument();
   document["facts"].erase("objectives");
   EXPECT_THAT(ParseSettings(document.dump())->objectives, IsEmpty());
   EXPECT_THAT(ParsedWith("/facts/objectives", "none")->objectives, IsEmpty());
 }
 
-TEST(PlatformSettings, WithAnObjectiveWhoseKindIsNoTextAreRefused) {
+TEST(PlatformSettings, RefuseAnObjectiveWhoseKindIsNotAString) {
   EXPECT_THAT(
       ParsedWith("/facts/objectives/0/kind", 3),
       HoldsError(SettingsFault::kBadField, HasSubstr("type must be string, but is number")));
@@ -125,12 +125,12 @@
   EXPECT_EQ(parsed->shard_count(), 3);
 }
 
-TEST(PlatformSettings, WithTwoControllersOfOneLabelAreRefused) {
+TEST(PlatformSettings, RefuseDuplicateLabels) {
   EXPECT_THAT(ParsedWith("/siblings/0/label", "node-2"),
               BadField("settings.siblings: two controllers have the same label"));
 }
 
-TEST(PlatformSettings, WithoutAnAnnouncementKeepThePresentLimits) {
+TEST(PlatformSettings, DefaultAnnouncedLimitsToThePresentOnes) {
   const auto parsed = ParseSettings(PlatformDocument().dump());
   ASSERT_THAT(parsed, HoldsValue());
   for (const StateLimits& limits : {parsed->state_limits, parsed->next_state_limits}) {
@@ -141,7 +141,7 @@
   }
 }
 
-TEST(PlatformSettings, TakeTheAnnouncedLimitsThatAreSmaller) {
+TEST(PlatformSettings, UseAnnouncedLimitsThatAreSmaller) {
   const auto parsed = ParsedWith("/facts/state/next", {{"txn_ops", 8}, {"value_kb", 128}});
   ASSERT_THAT(parsed, HoldsValue());
   EXPECT_THAT(parsed->next_state_limits,
@@ -150,32 +150,32 @@
   EXPECT_EQ(parsed->state_limits.txn_ops, 32);
 }
 
-TEST(PlatformSettings, WithWrongAnnouncedLimitsAreRefused) {
+TEST(PlatformSettings, RefuseInvalidAnnouncedLimits) {
   EXPECT_THAT(ParsedWith("/facts/state/next", 1), BadField("state.next must be an object"));
   EXPECT_THAT(ParsedWith("/facts/state/next", {{"txn_ops", 1}}),
               BadField("state.next.txn_ops must be a number from 4.000000 to 1000000.000000"));
 }
 
-TEST(PlatformSettings, ThatAreNotJsonAreRefused) {
+TEST(PlatformSettings, RefuseInvalidJson) {
   EXPECT_THAT(ParseSettings("nonsense"),
               HoldsError(SettingsFault::kSyntax, Eq("settings are not JSON")));
 }
 
-TEST(PlatformSettings, ThatAreNoObjectAreRefused) {
+TEST(PlatformSettings, RefuseADocumentThatIsNotAnObject) {
   EXPECT_THAT(ParseSettings("[]"), BadField("settings must be an object"));
   EXPECT_THAT(ParsedWith("/external", 1), BadField("external must be an object"));
   EXPECT_THAT(ParsedWith("/siblings/0", 1), BadField("siblings[] must be an object"));
   EXPECT_THAT(ParsedWith("/facts", nullptr), BadField("facts must be an object"));
 }
 
-TEST(PlatformSettings, WithoutARequiredFieldAreRefusedWithItsPath) {
+TEST(PlatformSettings, NameThePathOfAMissingField) {
   EXPECT_THAT(ParseSettings("{}"), BadField("settings.label is missing"));
   Json document = PlatformDocument();
   document["facts"]["workers"].erase("lease_s");
   EXPECT_THAT(ParseSettings(document.dump()), BadField("workers.lease_s is missing"));
 }
 
-TEST(PlatformSettings, WithFieldsOfAnotherTypeAreRefusedWithTheirPath) {
+TEST(PlatformSettings, NameThePathOfAFieldOfTheWrongType) {
   EXPECT_THAT(ParsedWith("/label", ""), BadField("settings.label must be a text"));
   EXPECT_THAT(ParsedWith("/label", 3), BadField("settings.label must be a text"));
   EXPECT_THAT(ParsedWith("/serve_on", "10.0.0.1"), BadField("settings.serve_on must be IPv4:port"));
@@ -186,37 +186,35 @@
               BadField("teams[].cpus must be a number from 0.000000 to 1000000000.000000"));
 }
 
-TEST(PlatformSettings, WithNumbersOutOfRangeAreRefusedWithTheRange) {
+TEST(PlatformSettings, NameTheRangeOfANumberOutOfRange) {
   EXPECT_THAT(ParsedWith("/facts/resources/fd_limit", 31),
               BadField("resources.fd_limit must be a number from 32.000000 to 100000000.000000"));
   EXPECT_THAT(ParsedWith("/facts/workers/report_s", 3601),
               BadField("workers.report_s must be a number from 0.010000 to 3600.000000"));
 }
 
-TEST(PlatformSettings, WithACancelTimeWithinTheLeaseAreRefused) {
+TEST(PlatformSettings, RefuseACancellationDeadlineWithinTheLease) {
   EXPECT_THAT(ParsedWith("/facts/workers/cancel_s", 10),
               BadField("workers.cancel_s must be longer than workers.lease_s"));
 }
 
-TEST(PlatformSettings, WithSeveralFaultsAreRefusedForTheFirst) {
+TEST(PlatformSettings, ReportTheFirstOfSeveralErrors) {
   Json document = PlatformDocument();
   document["facts"]["time_bound_ms"] = -1;
   document["facts"]["zones"] = 1;
   EXPECT_THAT(ParseSettings(document.dump()), BadField("facts.zones must be a list"));
 }
 
-TEST(OperatorSettings, TakeDefaultsForWhatIsLeftOut) {
+TEST(OperatorSettings, DefaultOmittedFields) {
   const auto parsed = ParseOperatorSettings("tail_threshold: 0.8 # half");
   ASSERT_THAT(parsed, HoldsValue());
   EXPECT_DOUBLE_EQ(parsed->tail_threshold(), 0.8);
   EXPECT_DOUBLE_EQ(parsed->claim_life_s(), 3);
 }
 
-TEST(OperatorSettings, AreAllGoodByDefault) {
-  EXPECT_THAT(ParseOperatorSettings(""), HoldsValue());
-}
+TEST(OperatorSettings, HaveValidDefaults) { EXPECT_THAT(ParseOperatorSettings(""), HoldsValue()); }
 
-TEST(OperatorSettings, WithAMisspeltFieldAreRefusedWithItsPlace) {
+TEST(OperatorSettings, LocateAMisspeltField) {
   EXPECT_THAT(
       ParseOperatorSettings("\n  tail_treshold: 0.8"),
       HoldsError(SettingsFault::kSyntax, AllOf(HasSubstr("operator settings: line 2, column "),
@@ -225,7 +223,7 @@
               HoldsError(SettingsFault::kSyntax, HasSubstr("line 1")));
 }
 
-TEST(OperatorSettings, OutOfRangeAreRefusedWithTheRange) {
+TEST(OperatorSettings, NameTheRangeOfAFieldOutOfRange) {
   EXPECT_THAT(ParseOperatorSettings("tail_threshold: 7"),
               BadField("operator settings: tail_threshold must be from 0.01 to 1, not 7"));
   EXPECT_THAT(ParseOperatorSettings("starve_s: 1234567.5"),
@@ -236,14 +234,14 @@
               BadField("operator settings: batch_most must be from 64 to 100000, not 32"));
 }
 
-TEST(Endpoints, AreIpv4AndPort) {
+TEST(Endpoints, ParseIpv4AndPort) {
   EXPECT_THAT(ParseEndpoint("10.0.0.1:08080"),
               Optional(AllOf(Field(&Endpoint::host, "10.0.0.1"), Field(&Endpoint::port, 8080),
                              Field(&Endpoint::text, "10.0.0.1:08080"))));
   EXPECT_THAT(ParseEndpoint("10.0.0.1:65535"), Optional(Field(&Endpoint::port, 65535)));
 }
 
-TEST(Endpoints, OfAnyOtherFormAreRefused) {
+TEST(Endpoints, RefuseOtherForms) {
   for (const char* text :
        {"", "10.0.0.1", "10.0.0.1:", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.1:080800",
         "10.0.0.1:-1", "10.0.0.1:1x", "10.0.0:1", "10.0.0.256:1", "host:1", ":1", "::1:1"}) {
--- a/tests/soak/controllers.cc
+++ b/tests/soak/controllers.cc
@@ -40,7 +40,7 @@
   if (log < 0) return false;
   pid_ = fork();
   if (pid_ == 0) {
-    // It must not outlive a soak that is killed.
+    // The child must not outlive the soak.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     dup2(log, STDERR_FILENO);
     setenv("LOG_LEVEL", "debug", 1);
--- a/tests/soak/controllers.h
+++ b/tests/soak/controllers.h
@@ -11,30 +11,31 @@
 
 namespace troutlink::soak {
 
-// A loopback address of this process's own, so that soaks side by side, and whatever else runs,
-// do not take the port of a controller that was killed and is to come back.
+// A loopback address of this process, so that other processes do not take the port of a controller
+// that was killed and will restart.
 std::string LoopbackHost();
-// A free port of it below those that connections get; never the same one twice. 0: there is none.
+// A free port of that address below the ephemeral range, never the same one twice. 0: there is
+// none.
 int FreePort();
 Endpoint Loopback(int port);
 
-// One controller's process. It is ended with its owner, by its id.
+// A controller process, which is ended with this object.
 class Controller {
  public:
-  // Runs `binary` with the settings file; what it logs is appended to `log`.
+  // Runs `binary` with the settings file and appends its output to `log`.
   Controller(std::string binary, std::string settings, std::string log)
       : binary_(std::move(binary)), settings_(std::move(settings)), log_(std::move(log)) {}
   ~Controller() { Kill(); }
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  // False when the process cannot be started.
+  // Returns false if the process cannot be started.
   bool Start();
   void Kill();
   void Pause();
   void Continue();
   bool running() const { return pid_ > 0; }
-  // Whether the process ended without having been killed here.
+  // Whether the process ended by itself.
   bool EndedByItself();
 
  private:
--- a/tests/soak/state_stand_in.cc
+++ b/tests/soak/fake_state_server.cc
@@ -1,4 +1,4 @@
-#include "state_stand_in.h"
+#include "fake_state_server.h"
 
 #include <algorithm>
 
@@ -8,25 +8,25 @@
 namespace troutlink::soak {
 
 namespace {
-constexpr size_t kConnections = 64;  // of one controller
+constexpr size_t kConnections = 64;  // per controller
 constexpr Micros kLatency = 3 * kMillisecond;
 constexpr Micros kSlowLatency = 600 * kMillisecond;
 constexpr Micros kLateFrom = 2 * kSecond, kLateTo = 12 * kSecond;
 }  // namespace
 
-bool StateStandIn::Listen(const Endpoint& at) {
+bool FakeStateServer::Listen(const Endpoint& at) {
   const size_t node = servers_.size();
   servers_.push_back(std::make_unique<runtime::HttpServer>(
       loop_, kConnections, [this, node](const Request& request) { OnRequest(node, request); }));
   return static_cast<bool>(servers_.back()->Open(at));
 }
 
-bool StateStandIn::Blocked(size_t node) const {
+bool FakeStateServer::Blocked(size_t node) const {
   const int number = static_cast<int>(node);
   return down > 0 || refused.count(number) != 0 || cut.count(number) != 0;
 }
 
-void StateStandIn::OnRequest(size_t node, const Request& request) {
+void FakeStateServer::OnRequest(size_t node, const Request& request) {
   const Micros now = runtime::SteadyNow();
   const bool watch = request.target.rfind("/follow", 0) == 0;
   if (cut.count(static_cast<int>(node)) != 0) {
@@ -47,7 +47,7 @@
   due_.push_back({now + (slow > 0 ? kSlowLatency : kLatency), node, request, true});
 }
 
-bool StateStandIn::LoseAnswer(size_t node, const Request& request) {
+bool FakeStateServer::LoseAnswer(size_t node, const Request& request) {
   if (late_writes == 0 || request.target != "/commit" || rng_() % 10 >= 3) return false;
   ++late;
   const bool at_once = rng_() % 3 == 0;
@@ -57,13 +57,13 @@
   return true;
 }
 
-void StateStandIn::CarryOut(Micros now, size_t node, const Request& request, bool answered) {
+void FakeStateServer::CarryOut(Micros now, size_t node, const Request& request, bool answered) {
   const auto body = wire::Unpack(request.body).value_or(wire::Json::object());
   auto [status, reply] = state.Handle(now, request.method, request.target, body);
   if (answered) servers_[node]->Send({request.id, status, wire::Pack(reply), 0});
 }
 
-void StateStandIn::BeginWatch(Micros now, size_t node, const Request& request) {
+void FakeStateServer::BeginWatch(Micros now, size_t node, const Request& request) {
   if (watch_gap > 0) {
     ++gaps;
     servers_[node]->Send({request.id, 410, "", 0});
@@ -74,7 +74,7 @@
       {node, request.id, std::stoull(test::QueryParameter(request.target, "from")), now + hold});
 }
 
-void StateStandIn::AnswerWatches(Micros now) {
+void FakeStateServer::AnswerWatches(Micros now) {
   std::vector<OpenWatch> open;
   for (const OpenWatch& watch : watches_) {
     const wire::Json events =
@@ -89,9 +89,9 @@
   watches_ = std::move(open);
 }
 
-void StateStandIn::EndOutage(Micros now) { state.Refresh(now); }
+void FakeStateServer::EndOutage(Micros now) { state.Refresh(now); }
 
-void StateStandIn::Tick(Micros now) {
+void FakeStateServer::Tick(Micros now) {
   if (down == 0) state.Expire(now);
   std::vector<Due> due;
   std::vector<Due> later;
--- a/tests/soak/state_stand_in.h
+++ b/tests/soak/fake_state_server.h
@@ -1,6 +1,6 @@
-// The state service over loopback, with its faults.
-#ifndef TROUTLINK_TESTS_SOAK_STATE_STAND_IN_H_
-#define TROUTLINK_TESTS_SOAK_STATE_STAND_IN_H_
+// The fake key-value store over loopback, with faults.
+#ifndef TROUTLINK_TESTS_SOAK_FAKE_STATE_SERVER_H_
+#define TROUTLINK_TESTS_SOAK_FAKE_STATE_SERVER_H_
 
 #include <ev.h>
 
@@ -16,26 +16,26 @@
 
 namespace troutlink::soak {
 
-// Each controller has an address of its own, by which it is known. What is stored, and the rules
-// of transactions and leases, are those of the fake state service of the stories.
-class StateStandIn {
+// Each controller has its own address, by which it is identified. Storage, transactions and leases
+// are those of FakeState.
+class FakeStateServer {
  public:
-  StateStandIn(struct ev_loop* loop, uint64_t seed) : loop_(loop), rng_(seed) {}
+  FakeStateServer(struct ev_loop* loop, uint64_t seed) : loop_(loop), rng_(seed) {}
 
-  // One more controller; false when the address is taken.
+  // Adds a controller. Returns false if the address is in use.
   bool Listen(const Endpoint& at);
-  // Ends leases and answers what is due. To be called often.
+  // Expires leases and sends due answers. Call often.
   void Tick(Micros now);
-  // The end of an outage: every lease has its full time again.
+  // Extends every lease to its full TTL, at the end of an outage.
   void EndOutage(Micros now);
 
-  // Faults: how many of each go on, of a node by its number.
+  // Number of active faults of each kind, some by node.
   int down = 0;
   std::multiset<int> refused, cut;
   int slow = 0;
   int late_writes = 0;
   int watch_gap = 0;
-  // How often each took effect.
+  // Number of effects of each kind of fault.
   uint64_t refusals = 0, lost = 0, slowed = 0, late = 0, gaps = 0;
 
   test::FakeState state;
@@ -45,7 +45,7 @@
     Micros at = 0;
     size_t node = 0;
     Request request;
-    bool answered = true;  // else it is carried out without an answer
+    bool answered = true;  // otherwise executed without an answer
   };
   struct OpenWatch {
     size_t node = 0;
@@ -55,7 +55,7 @@
   };
   void OnRequest(size_t node, const Request& request);
   bool Blocked(size_t node) const;
-  // Whether the transaction is one that gets no answer.
+  // Whether this transaction gets no answer.
   bool LoseAnswer(size_t node, const Request& request);
   void CarryOut(Micros now, size_t node, const Request& request, bool answered);
   void BeginWatch(Micros now, size_t node, const Request& request);
@@ -70,4 +70,4 @@
 
 }  // namespace troutlink::soak
 
-#endif  // TROUTLINK_TESTS_SOAK_STATE_STAND_IN_H_
+#endif  // TROUTLINK_TESTS_SOAK_FAKE_STATE_SERVER_H_
--- a/tests/soak/http_calls.h
+++ b/tests/soak/http_calls.h
@@ -1,4 +1,4 @@
-// Calls over HTTP with a handler each.
+// HTTP calls with a handler each.
 #ifndef TROUTLINK_TESTS_SOAK_HTTP_CALLS_H_
 #define TROUTLINK_TESTS_SOAK_HTTP_CALLS_H_
 
@@ -13,7 +13,7 @@
 
 namespace troutlink::soak {
 
-// Sends requests and hands each answer to its handler.
+// Sends requests and passes each answer to its handler.
 class HttpCalls {
  public:
   using Handler = std::function<void(int status, const std::string& body)>;
@@ -36,7 +36,7 @@
   void Tick(Micros now) { client_.Tick(now); }
 
  private:
-  static constexpr int kConnections = 128;  // to one controller
+  static constexpr int kConnections = 128;  // per controller
 
   void Done(const runtime::CallResult& result) {
     auto found = handlers_.find(result.call_id);
--- a/tests/soak/relay.h
+++ b/tests/soak/relay.h
@@ -1,4 +1,4 @@
-// A TCP relay between two controllers, which can hold back or reset what passes.
+// TCP relay between two controllers, which can delay or reset connections.
 #ifndef TROUTLINK_TESTS_SOAK_RELAY_H_
 #define TROUTLINK_TESTS_SOAK_RELAY_H_
 
@@ -14,8 +14,8 @@
 
 namespace troutlink::soak {
 
-// Passes bytes on from whoever connects to it to `to`. Controllers speak in one direction on each
-// connection, so that a relay is one direction of one pair.
+// Forwards bytes from each accepted connection to `to`. Each connection between controllers carries
+// data in one direction only, so a relay covers one direction of a pair.
 class Relay {
  public:
   enum class Mode { kOpen, kHold, kReset };
@@ -25,20 +25,20 @@
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  // False when it cannot listen.
+  // Returns false if it cannot listen.
   bool Open(const Endpoint& at);
   void SetMode(Mode mode);
-  // How often it held something back or reset a connection.
+  // Number of delays and resets.
   uint64_t hits() const { return hits_; }
 
  private:
-  // One connection: what comes in is written to the other side.
+  // One connection: incoming bytes are written to the other side.
   struct Pipe {
     Relay* owner = nullptr;
     runtime::UniqueFd in;
     runtime::UniqueFd out;
     bool connecting = true;
-    bool ended = false;  // the incoming side: closed once all is written
+    bool ended = false;  // the incoming side has closed; closed once all is written
     std::string buffer;
     ev_io read{};
     ev_io write{};
--- a/tests/soak/schedule.cc
+++ b/tests/soak/schedule.cc
@@ -8,7 +8,7 @@
 namespace {
 constexpr Micros kFirst = 6 * kSecond;  // controllers have started and lead by then
 constexpr Micros kLeastGap = 500 * kMillisecond;
-constexpr Micros kMostGap = 4 * kSecond;  // shorter than most faults: two or three overlap
+constexpr Micros kMostGap = 4 * kSecond;  // shorter than most faults, so that two or three overlap
 constexpr Micros kShort = 100 * kMillisecond;
 constexpr Micros kMedium = 1500 * kMillisecond;
 constexpr Micros kTakeover = 5 * kSecond;
@@ -55,7 +55,7 @@
     fault.node = static_cast<int>(draw(0, nodes - 1));
     const bool brief = draw(0, 2) == 0;
     fault.duration = brief ? draw(kShort, kMedium) : draw(kMedium, kLong);
-    // In each run some leader ends for longer than its lease lasts.
+    // Each run keeps some leader down for longer than its lease.
     if (schedule.empty()) {
       fault.kind = FaultKind::kKill;
       fault.duration = draw(kTakeover, kLong);
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -1,4 +1,4 @@
-// Which faults a soak run has, and when: drawn from a seed before the run begins.
+// Schedule of faults of a soak run, drawn from a seed.
 #ifndef TROUTLINK_TESTS_SOAK_SCHEDULE_H_
 #define TROUTLINK_TESTS_SOAK_SCHEDULE_H_
 
@@ -10,29 +10,29 @@
 
 namespace troutlink::soak {
 
-// What goes wrong.
+// Kinds of faults.
 enum class FaultKind {
-  kKill,           // the controller's process is killed, and started again after `duration`
-  kPause,          // the controller's process stands still
-  kStateDown,      // the state service answers 503 to all
-  kStateRefuses,   // it answers 503 to this controller
-  kStateCut,       // requests of this controller get no answer
-  kStateSlow,      // every answer takes longer
-  kLateWrites,     // transactions get no answer; some are carried out late, some at once
+  kKill,           // the controller is killed and restarted after `duration`
+  kPause,          // the controller is paused
+  kStateDown,      // the store answers 503 to all
+  kStateRefuses,   // the store answers 503 to this controller
+  kStateCut,       // this controller's requests to the store get no answer
+  kStateSlow,      // the store answers slowly
+  kLateWrites,     // transactions get no answer; some are applied late, some at once
   kWatchGap,       // watches get 410
-  kPeerHold,       // what this controller says to the next one is held back, in this direction
-  kPeerReset,      // the same connections are reset
-  kMachinesHang,   // some machines do nothing, and go on later
-  kMachinesDeaf,   // answers and commands to them are lost
-  kMachinesMute,   // their reports are lost
-  kMachinesTaken,  // some spot machines are gone for good
-  kLowerLimits,    // the state service has its announced limits from now on
+  kPeerHold,       // messages of this controller to the next one are delayed
+  kPeerReset,      // these connections are reset
+  kMachinesHang,   // some machines do nothing, and resume later
+  kMachinesDeaf,   // replies and commands to some machines are lost
+  kMachinesMute,   // heartbeats of some machines are lost
+  kMachinesTaken,  // some spot machines are evicted
+  kLowerLimits,    // the announced limits of the store apply
 };
 inline constexpr int kFaultKinds = 15;
-// As in timelines.
+// Name in timelines.
 const char* NameOf(FaultKind kind);
 
-// One fault. `node` is of no meaning to faults of the state service as a whole and of machines.
+// One fault. `node` is unused for faults of the store as a whole and of machines.
 struct Fault {
   FaultKind kind = FaultKind::kKill;
   Micros at = 0;  // since the start of the run
@@ -41,7 +41,7 @@
   std::string Text() const;
 };
 
-// Overlapping faults up to `end`, in the order of their beginning. The same for the same seed.
+// Overlapping faults up to `end`, ordered by start. Deterministic for a seed.
 std::vector<Fault> DrawSchedule(uint64_t seed, int nodes, Micros end);
 
 }  // namespace troutlink::soak
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -16,9 +16,9 @@
 constexpr Micros kCheckEvery = 100 * kMillisecond;
 constexpr Micros kMetricsEvery = 2 * kSecond;
 constexpr Micros kRepeatEvery = 2 * kSecond;
-// Longer than any request is held up, and than a lost leadership, a silence and a boot take.
+// Longer than delays of requests, a failover, a detection of silence and a boot.
 constexpr Micros kQuiet = 20 * kSecond;
-// After the troubles no accepted job is left waiting for longer.
+// Maximum wait of an accepted job after the faults.
 constexpr Micros kMostWaiting = 90 * kSecond;
 constexpr Micros kRecentStart = 60 * kSecond;
 constexpr Micros kProbeTimeout = 2 * kSecond;
@@ -31,7 +31,7 @@
       {"teams",
        {{{"name", "red"}, {"cpus", 16.0}, {"cpus_max", 64.0}, {"gpus", 0.0}, {"gpus_max", 0.0}},
         {{"name", "blue"}, {"cpus", 0.0}, {"cpus_max", 0.0}, {"gpus", 0.0}, {"gpus_max", 0.0}}}},
-      // The lease is the one that the fake workers have.
+      // The lease of the fake agents.
       {"workers", {{"report_s", 1.0}, {"lease_s", 10.0}, {"cancel_s", 22.0}}},
       {"state",
        {{"rps", 600.0},
@@ -72,7 +72,7 @@
   timeline_ << at / kMillisecond << " ms " << what << std::endl;
 }
 
-// --- beginning ------------------------------------------------------------------
+// --- start ---------------------------------------------------------------------
 
 std::string Soak::SettingsOf(int node) const {
   const auto at = static_cast<size_t>(node);
@@ -129,20 +129,20 @@
     for (int& port : row) port = FreePort();
   }
   if (!WriteSettings()) return false;
-  state_ = std::make_unique<StateStandIn>(loop_, options_.seed);
+  state_ = std::make_unique<FakeStateServer>(loop_, options_.seed);
   state_->state.limits = settings_.state_limits;
-  pool_ = std::make_unique<WorkerPool>(
+  pool_ = std::make_unique<AgentPool>(
       loop_, options_.seed, serve,
-      [this](const test::FakeWorker& on, const std::string& job, int task) {
+      [this](const test::FakeAgent& on, const std::string& job, int task) {
         Say("start " + job + "/" + std::to_string(task) + " on " + on.name);
         last_start_[job] = runtime::SteadyNow();
         rules_->OnStart(runtime::SteadyNow(), on, job, task);
       },
-      [this](const std::string& what) { rules_->Break(what); });
+      [this](const std::string& what) { rules_->AddViolation(what); });
   traffic_ = std::make_unique<UserTraffic>(
       loop_, options_.seed, serve,
       [this](const std::string& job, Micros time) { pool_->SetRunTime(job, time); });
-  rules_ = std::make_unique<test::RuleChecker>(settings_, traffic_->users, pool_->workers,
+  rules_ = std::make_unique<test::RuleChecker>(settings_, traffic_->users, pool_->agents,
                                                pool_->results, state_->state);
   traffic_->SetChecker(rules_.get());
   probes_ = std::make_unique<HttpCalls>(loop_, kNodes);
@@ -155,7 +155,7 @@
       open = open && relays_[from][to]->Open(Loopback(relay_ports_[from][to]));
     }
   }
-  for (int i = 0; i < options_.workers; ++i) open = open && pool_->Add();
+  for (int i = 0; i < options_.agents; ++i) open = open && pool_->Add();
   if (!open) findings_.emplace_back("a port is occupied");
   return open;
 }
@@ -184,7 +184,7 @@
   return findings_.empty() ? SoakResult::kKept : SoakResult::kBroken;
 }
 
-// --- one moment -------------------------------------------------------------------
+// --- step ------------------------------------------------------------------------
 
 void Soak::OnTimer(struct ev_loop*, ev_timer* watcher, int) {
   static_cast<Soak*>(watcher->data)->Step();
@@ -221,7 +221,7 @@
   }
   std::string waits;
   if (!Settled(now, &waits) && elapsed < trouble + kMostWaiting) return;
-  if (!waits.empty()) rules_->Break("waits: " + waits);
+  if (!waits.empty()) rules_->AddViolation("waits: " + waits);
   Finish();
 }
 
@@ -247,7 +247,7 @@
 void Soak::CheckControllers(Micros now) {
   for (size_t node = 0; node < controllers_.size(); ++node) {
     if (controllers_[node]->EndedByItself()) {
-      rules_->Break("crash of " + NodeName(static_cast<int>(node)));
+      rules_->AddViolation("crash of " + NodeName(static_cast<int>(node)));
     }
   }
   ReadElections();
@@ -256,8 +256,8 @@
     next_metrics_ = now + kMetricsEvery;
     ReadMetrics();
   }
-  for (; broken_said_ < rules_->broken.size(); ++broken_said_) {
-    Say("BROKEN " + rules_->broken[broken_said_]);
+  for (; broken_said_ < rules_->violations.size(); ++broken_said_) {
+    Say("BROKEN " + rules_->violations[broken_said_]);
   }
 }
 
@@ -272,13 +272,13 @@
                       const bool violation =
                           line.rfind("troutlink_invariant_violations_total", 0) == 0;
                       if (!violation || line.substr(line.rfind(' ')) == " 0") continue;
-                      rules_->Break(NodeName(node) + " " + line);
+                      rules_->AddViolation(NodeName(node) + " " + line);
                     }
                   });
   }
 }
 
-// Changes of leadership that the state service saw.
+// Number of leadership changes seen by the store.
 void Soak::ReadElections() {
   const auto& changes = state_->state.changes;
   elections_ = static_cast<uint64_t>(
@@ -320,7 +320,7 @@
   (void)now;
 }
 
-// `change`: 1 when it begins, -1 when it ends.
+// `change`: 1 at the start of the fault, -1 at its end.
 void Soak::BeginStateFault(const Fault& fault, int change) {
   auto set = [&fault, change](std::multiset<int>* nodes) {
     if (change > 0) {
@@ -341,24 +341,24 @@
 }
 
 void Soak::BeginMachineFault(const Fault& fault, bool on) {
-  bool test::FakeWorker::*field = nullptr;
+  bool test::FakeAgent::*field = nullptr;
   switch (fault.kind) {
-    case FaultKind::kMachinesHang: field = &test::FakeWorker::hung; break;
-    case FaultKind::kMachinesDeaf: field = &test::FakeWorker::unhearing; break;
-    case FaultKind::kMachinesMute: field = &test::FakeWorker::mute; break;
+    case FaultKind::kMachinesHang: field = &test::FakeAgent::hung; break;
+    case FaultKind::kMachinesDeaf: field = &test::FakeAgent::inbound_blocked; break;
+    case FaultKind::kMachinesMute: field = &test::FakeAgent::outbound_blocked; break;
     default: break;
   }
   if (on) {
-    machine_faults_ += static_cast<uint64_t>(pool_->ChangeSome([field](test::FakeWorker* worker) {
-      if (field != nullptr) return worker->*field = true;
-      if (!worker->spot) return false;
-      worker->tasks.clear();
-      return worker->dead = true;
+    machine_faults_ += static_cast<uint64_t>(pool_->ChangeSome([field](test::FakeAgent* agent) {
+      if (field != nullptr) return agent->*field = true;
+      if (!agent->spot) return false;
+      agent->tasks.clear();
+      return agent->dead = true;
     }));
     return;
   }
   if (field == nullptr) return;
-  for (auto& [name, worker] : pool_->workers) worker.get()->*field = false;
+  for (auto& [name, agent] : pool_->agents) agent.get()->*field = false;
 }
 
 void Soak::End(Micros now, const Fault& fault) {
@@ -366,7 +366,8 @@
   const size_t next = (node + 1) % kNodes;
   switch (fault.kind) {
     case FaultKind::kKill:
-      if (--killed_[node] == 0 && !controllers_[node]->Start()) rules_->Break("cannot restart");
+      if (--killed_[node] == 0 && !controllers_[node]->Start())
+        rules_->AddViolation("cannot restart");
       if (paused_[node] > 0) controllers_[node]->Pause();
       break;
     case FaultKind::kPause:
@@ -387,15 +388,15 @@
 
 // --- the end --------------------------------------------------------------------------
 
-// The rule: once the troubles are over no job is left waiting for 90 s. A job that runs, or waits
-// for one that does, is not; nor is one that gets a task now and then.
-bool Soak::Backlog(Micros now, const test::Users::Known& known) const {
+// After the faults no job may be left waiting for 90 s. A job that runs, depends on one that runs,
+// or gets a task now and then is not left waiting.
+bool Soak::Backlog(Micros now, const test::Users::TrackedJob& known) const {
   if (known.accepted == 0 || known.done != 0 || known.cancelled != 0) return false;
-  const int running = pool_->OnMachines(known.spec.id);
+  const int running = pool_->CountTasks(known.spec.id);
   if (known.spec.kind == JobKind::kService) return running != known.spec.tasks;
   if (running > 0) return false;
   for (const std::string& dependency : known.spec.dependencies) {
-    const test::Users::Known* needed = traffic_->users.Find(dependency);
+    const test::Users::TrackedJob* needed = traffic_->users.Find(dependency);
     if (needed != nullptr && needed->done == 0) return false;
   }
   auto started = last_start_.find(known.spec.id);
@@ -411,10 +412,10 @@
   return true;
 }
 
-// A run in which nothing happened shows nothing.
+// A run without effects of faults is invalid.
 void Soak::CheckEffects() {
   auto need = [this](bool happened, const std::string& what) {
-    if (!happened) rules_->Break("without effect: " + what);
+    if (!happened) rules_->AddViolation("without effect: " + what);
   };
   need(pool_->starts() > 0, "no task was started");
   need(traffic_->cancels_told > 0, "no job was cancelled");
@@ -443,10 +444,10 @@
   if (done_) return;
   done_ = true;
   CheckEffects();
-  for (; broken_said_ < rules_->broken.size(); ++broken_said_) {
-    Say("BROKEN " + rules_->broken[broken_said_]);
+  for (; broken_said_ < rules_->violations.size(); ++broken_said_) {
+    Say("BROKEN " + rules_->violations[broken_said_]);
   }
-  findings_ = rules_->broken;
+  findings_ = rules_->violations;
   Say(Summary());
   ev_break(loop_, EVBREAK_ALL);
 }
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,4 +1,4 @@
-// One soak run: real controllers over loopback, faults from a schedule, rules checked from
+// A soak run: real controllers over loopback, with faults from a schedule, and rules checked from
 // outside.
 #ifndef TROUTLINK_TESTS_SOAK_SOAK_H_
 #define TROUTLINK_TESTS_SOAK_SOAK_H_
@@ -11,25 +11,25 @@
 #include <string>
 #include <vector>
 
+#include "agent_pool.h"
 #include "controllers.h"
+#include "fake_state_server.h"
 #include "relay.h"
 #include "schedule.h"
-#include "state_stand_in.h"
 #include "user_traffic.h"
-#include "worker_pool.h"
 
 namespace troutlink::soak {
 
-// What a run is made of.
+// Options of a run.
 struct SoakOptions {
   std::string binary;     // of the controllers
-  std::string directory;  // of logs, settings and the timeline
+  std::string directory;  // for logs, settings and the timeline
   uint64_t seed = 1;
-  int seconds = 40;  // of faults; up to 90 s follow for what is left
-  int workers = 12;
+  int seconds = 40;  // of faults; up to 90 s follow to finish jobs
+  int agents = 12;
 };
 
-// How a run ended, as the exit code tells it.
+// Result of a run, as in the exit code.
 enum class SoakResult { kKept = 0, kBroken = 1, kNotRun = 2 };
 
 class Soak {
@@ -40,9 +40,9 @@
   Soak& operator=(const Soak&) = delete;
 
   SoakResult Run();
-  // One line each: what was broken, or why it was not run.
+  // One line per violation, or why the run failed to start.
   const std::vector<std::string>& findings() const { return findings_; }
-  // What the run did, in one line.
+  // Summary in one line.
   std::string Summary() const;
 
  private:
@@ -52,14 +52,14 @@
     Fault fault;
   };
 
-  // --- beginning ---
+  // --- start ---
   bool Listen();
   bool WriteSettings();
   std::string SettingsOf(int node) const;
 
-  // --- one moment ---
+  // --- step ---
   static void OnTimer(struct ev_loop* loop, ev_timer* watcher, int events);
-  // SIGINT or SIGTERM: ends the run, and with it its processes.
+  // On SIGINT or SIGTERM: ends the run and its processes.
   static void OnSignal(struct ev_loop* loop, ev_signal* watcher, int events);
   void Step();
   void RunSchedule(Micros now);
@@ -75,7 +75,7 @@
 
   // --- the end ---
   bool Settled(Micros now, std::string* waits) const;
-  bool Backlog(Micros now, const test::Users::Known& known) const;
+  bool Backlog(Micros now, const test::Users::TrackedJob& known) const;
   void CheckEffects();
   void Finish();
   void Say(const std::string& what);
@@ -91,21 +91,21 @@
   std::vector<int> serve_ports_, mesh_ports_, state_ports_;
   int cloud_port_ = 0;
   std::vector<std::vector<int>> relay_ports_;
-  std::unique_ptr<StateStandIn> state_;
-  std::unique_ptr<WorkerPool> pool_;
+  std::unique_ptr<FakeStateServer> state_;
+  std::unique_ptr<AgentPool> pool_;
   std::unique_ptr<UserTraffic> traffic_;
   std::unique_ptr<test::RuleChecker> rules_;
   std::unique_ptr<HttpCalls> probes_;
-  std::vector<std::vector<std::unique_ptr<Relay>>> relays_;  // from, to
+  std::vector<std::vector<std::unique_ptr<Relay>>> relays_;  // by sender and receiver
   std::vector<std::unique_ptr<Controller>> controllers_;
   std::vector<Fault> schedule_;
   size_t next_fault_ = 0;
   std::vector<Ending> endings_;
-  std::vector<int> killed_, paused_;          // how many faults hold each controller
-  std::map<std::string, Micros> last_start_;  // of a task, by job
+  std::vector<int> killed_, paused_;          // number of faults that affect each controller
+  std::map<std::string, Micros> last_start_;  // by job
   size_t broken_said_ = 0;
   uint64_t kills_ = 0, pauses_ = 0, machine_faults_ = 0, elections_ = 0, metrics_read_ = 0;
-  uint64_t first_elections_ = 0;  // before any fault
+  uint64_t first_elections_ = 0;  // before the first fault
   bool done_ = false;
   std::vector<std::string> findings_;
   std::ofstream timeline_;
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -1,5 +1,5 @@
-// The soak: see soak.h and docs/operating.md. Exit code 0: all rules kept; 1: some broken; 2: bad
-// input, or a run that could not begin.
+// The soak test: see soak.h and docs/operating.md. Exit code 0: no violation; 1: violations; 2:
+// invalid arguments, or the run could not start.
 #include <CLI/CLI.hpp>
 #include <filesystem>
 #include <iostream>
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Runs one seed and prints what came of it.
+// Runs one seed and prints the result.
 troutlink::soak::SoakResult RunSeed(const troutlink::soak::SoakOptions& options) {
   troutlink::soak::Soak soak(options);
   const troutlink::soak::SoakResult result = soak.Run();
@@ -36,7 +36,7 @@
       ->check(CLI::Range(1, 100000));
   app.add_option("--seconds", options.seconds, "of faults in each run")
       ->check(CLI::Range(10, 3600));
-  app.add_option("--workers", options.workers, "at the start")->check(CLI::Range(1, 1000));
+  app.add_option("--workers", options.agents, "at the start")->check(CLI::Range(1, 1000));
   app.add_option("--out", out, "directory of logs; those of seeds that pass are deleted");
   try {
     app.parse(argc, argv);
--- a/tests/soak/user_traffic.cc
+++ b/tests/soak/user_traffic.cc
@@ -22,7 +22,7 @@
   spec.task_resources = {2000, 0, 4000};
   if (Chance(0.15)) {
     spec.kind = JobKind::kService;
-    // Services run on: of a team with a limit they would leave nothing of it in the end.
+    // Services never end: those of a team with a limit would use it up.
     spec.team = "blue";
     spec.priority = Priority::kProduction;
     return spec;
@@ -31,7 +31,7 @@
   spec.estimate = 3 * kSecond;
   set_run_time_(spec.id, Draw(300, 9000) * kMillisecond);
   for (int i = Draw(0, 2); i > 0 && !users.jobs().empty(); --i) {
-    const test::Users::Known* known = users.Find(AnyJob());
+    const test::Users::TrackedJob* known = users.Find(AnyJob());
     if (known->accepted != 0 && known->spec.kind == JobKind::kArray) {
       spec.dependencies.push_back(known->spec.id);
     }
@@ -47,15 +47,15 @@
 }
 
 void UserTraffic::Submit(const JobSpec& spec) {
-  Ask("POST", std::string(wire::kJobsPath), wire::EncodeSubmission(spec));
+  SendRequest("POST", std::string(wire::kJobsPath), wire::EncodeSubmission(spec));
 }
 
 void UserTraffic::Poll(const std::string& id) {
-  Ask("GET", std::string(wire::kJobsPath) + "/" + id, "");
+  SendRequest("GET", std::string(wire::kJobsPath) + "/" + id, "");
 }
 
 void UserTraffic::Cancel(const std::string& id) {
-  Ask("POST", std::string(wire::kJobsPath) + "/" + id + std::string(wire::kAbortEnd), "");
+  SendRequest("POST", std::string(wire::kJobsPath) + "/" + id + std::string(wire::kAbortEnd), "");
 }
 
 void UserTraffic::Act(bool busy) {
@@ -64,7 +64,7 @@
   if (users.jobs().empty()) return;
   for (int i = 0; i < 3; ++i) Poll(AnyJob());
   if (Chance(0.2)) {
-    const test::Users::Known* known = users.Find(AnyJob());
+    const test::Users::TrackedJob* known = users.Find(AnyJob());
     if (known->accepted != 0 || busy) Submit(known->spec);
   }
   if (busy && Chance(0.12)) Cancel(AnyJob());
@@ -78,24 +78,24 @@
   for (const JobSpec& spec : again) Submit(spec);
 }
 
-void UserTraffic::Ask(const std::string& method, const std::string& target,
-                      const std::string& body) {
+void UserTraffic::SendRequest(const std::string& method, const std::string& target,
+                              const std::string& body) {
   users.NoteRequest(target, body);
   const Endpoint& to =
       controllers_[static_cast<size_t>(Draw(0, static_cast<int>(controllers_.size()) - 1))];
-  const Micros asked = runtime::SteadyNow();
+  const Micros requested_at = runtime::SteadyNow();
   calls_.Send(to, method, target, body, kTimeout,
-              [this, method, target, body, asked](int status, const std::string& answer) {
+              [this, method, target, body, requested_at](int status, const std::string& answer) {
                 const Reply reply{0, status, answer, 0};
-                auto read =
-                    test::Users::Read(asked, runtime::SteadyNow(), method, target, body, reply);
+                auto read = test::Users::Read(requested_at, runtime::SteadyNow(), method, target,
+                                              body, reply);
                 if (read) Take(*read);
               });
 }
 
-void UserTraffic::Take(const test::UserAnswer& answer) {
+void UserTraffic::Take(const test::UserReply& answer) {
   rules_->OnAnswer(answer);
-  const test::Users::Known* known = users.Find(answer.id);
+  const test::Users::TrackedJob* known = users.Find(answer.id);
   const bool first_cancel =
       known != nullptr && known->cancelled == 0 && answer.job_status == "cancelled";
   const bool first_accept = known != nullptr && known->accepted == 0;
--- a/tests/soak/user_traffic.h
+++ b/tests/soak/user_traffic.h
@@ -1,4 +1,4 @@
-// Users who submit, ask, cancel and repeat themselves at all controllers.
+// Users that submit, poll, cancel and repeat requests on all controllers.
 #ifndef TROUTLINK_TESTS_SOAK_USER_TRAFFIC_H_
 #define TROUTLINK_TESTS_SOAK_USER_TRAFFIC_H_
 
@@ -15,10 +15,10 @@
 
 namespace troutlink::soak {
 
-// Asks at random; what is answered goes to the rule checker and into `users`.
+// Sends random requests; responses go to the rule checker and to `users`.
 class UserTraffic {
  public:
-  // `set_run_time`: called for each new job before it is submitted.
+  // `set_run_time`: called for each new job before its submission.
   UserTraffic(struct ev_loop* loop, uint64_t seed, std::vector<Endpoint> controllers,
               std::function<void(const std::string& job, Micros time)> set_run_time)
       : rng_(seed),
@@ -27,17 +27,17 @@
         calls_(loop, kConnections) {}
 
   void SetChecker(test::RuleChecker* rules) { rules_ = rules; }
-  // What users do in one moment. `busy`: they also submit and cancel.
+  // One step of the users. `busy`: they also submit and cancel.
   void Act(bool busy);
-  // Asks one controller about the job.
+  // Polls one controller about the job.
   void Poll(const std::string& id);
-  // Submits every job again that no controller has accepted so far, as its user would.
+  // Repeats submissions that no controller has accepted so far.
   void RepeatUnanswered();
   void Tick(Micros now) { calls_.Tick(now); }
 
   test::Users users;
   uint64_t answers = 0, cancels_told = 0;
-  // Pipelines that were accepted.
+  // Accepted pipelines.
   uint64_t dependents = 0;
 
  private:
@@ -50,8 +50,8 @@
   JobSpec NewJob();
   std::string AnyJob();
   void Cancel(const std::string& id);
-  void Ask(const std::string& method, const std::string& target, const std::string& body);
-  void Take(const test::UserAnswer& answer);
+  void SendRequest(const std::string& method, const std::string& target, const std::string& body);
+  void Take(const test::UserReply& answer);
 
   std::mt19937_64 rng_;
   std::vector<Endpoint> controllers_;
