--- a/tests/store_units_test.cc
+++ b/tests/store_units_test.cc
@@ -1,4 +1,4 @@
-// Units of src/core/store: the replica of the state service and the calls that read it.
+// Unit tests of src/core/store: the replica and the calls that read it.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -35,7 +35,7 @@
 
 using Texts = std::vector<std::string>;
 
-// Keeps what it is told as one text each.
+// Records each event as text.
 class Recorder : public ReplicaObserver {
  public:
   void OnJobOpen(const std::string& id, const JobEntry& /*entry*/) override { Add("open " + id); }
@@ -73,7 +73,7 @@
   }
   void OnStateWriteSent() override { Add("write"); }
 
-  // Everything since the last call.
+  // Events since the last call.
   Texts Take() { return std::exchange(told_, {}); }
 
  private:
@@ -109,7 +109,7 @@
   JobTable jobs_{&cancellations_, &recorder_};
 };
 
-TEST_F(JobTableTest, ARecordThatIsNotNewerChangesNothing) {
+TEST_F(JobTableTest, RecordThatIsNotNewerIsIgnored) {
   EXPECT_EQ(Put(Record("job-1"), 5), RecordOutcome::kApplied);
   EXPECT_EQ(Put(Record("job-1", {}, JobState::kDone), 5), RecordOutcome::kIgnored);
   EXPECT_EQ(Put(Record("job-1", {}, JobState::kDone), 4), RecordOutcome::kIgnored);
@@ -118,13 +118,13 @@
   EXPECT_THAT(recorder_.Take(), ElementsAre("open job-1"));
 }
 
-TEST_F(JobTableTest, AnUnreadableRecordIsNotTaken) {
+TEST_F(JobTableTest, UnreadableRecordIsIgnored) {
   EXPECT_EQ(jobs_.Apply(0, "job-1", "junk", 5), RecordOutcome::kUnreadable);
   EXPECT_THAT(jobs_.Find("job-1"), IsNull());
   EXPECT_EQ(jobs_.StateOf("job-1"), KnownJobState::kUnknown);
 }
 
-TEST_F(JobTableTest, AJobThatIsOverKeepsLittleOfItsSpecification) {
+TEST_F(JobTableTest, FinishedJobDropsMostOfItsSpecification) {
   Put(Record("job-1"), 1);
   recorder_.Take();
   Put(Record("job-1", {}, JobState::kDone), 2);
@@ -136,7 +136,7 @@
       AllOf(Field(&JobSpec::image, ""), Field(&JobSpec::team, "t"), Field(&JobSpec::tasks, 3)));
 }
 
-TEST_F(JobTableTest, AJobWaitsUntilAllThatItDependsOnAreDone) {
+TEST_F(JobTableTest, JobWaitsUntilAllDependenciesAreDone) {
   Put(Record("job-3", {"job-1", "job-2"}), 1);
   EXPECT_EQ(jobs_.StateOf("job-3"), KnownJobState::kBlocked);
   EXPECT_EQ(jobs_.CountBlocked(), 1U);
@@ -155,7 +155,7 @@
   EXPECT_EQ(jobs_.At("job-3").ready_at, 1200 * kSecond);
 }
 
-TEST_F(JobTableTest, AJobIsServedWithThePriorityOfWhatDependsOnIt) {
+TEST_F(JobTableTest, JobInheritsThePriorityOfItsDependents) {
   Put(Record("job-1"), 1);
   JobRecord urgent = Record("job-2", {"job-1"});
   urgent.spec.priority = Priority::kHigh;
@@ -166,7 +166,7 @@
   EXPECT_EQ(jobs_.At("job-1").record.spec.priority, Priority::kNormal);
 }
 
-TEST_F(JobTableTest, ACancellationCascadesToAllDependents) {
+TEST_F(JobTableTest, CancellationCascadesToAllDependents) {
   Put(Record("job-1"), 1);
   Put(Record("job-2", {"job-1"}), 2);
   Put(Record("job-3", {"job-2"}), 3);
@@ -177,12 +177,12 @@
   EXPECT_THAT(jobs_.cascade_cancelled(), ElementsAre("job-2", "job-3"));
   EXPECT_EQ(jobs_.StateOf("job-3"), KnownJobState::kCancelled);
   EXPECT_EQ(jobs_.StateOf("job-4"), KnownJobState::kOpen);
-  // Their own records end that.
+  // Until their own records are final.
   Put(Record("job-2", {"job-1"}, JobState::kCancelled), 6);
   EXPECT_THAT(jobs_.cascade_cancelled(), ElementsAre("job-3"));
 }
 
-TEST_F(JobTableTest, AJobThatComesAfterTheCancellationIsCancelledToo) {
+TEST_F(JobTableTest, JobSubmittedAfterItsDependencyWasCancelledIsCancelled) {
   Put(Record("job-1", {}, JobState::kCancelled), 1);
   JobRecord late = Record("job-2", {"job-1"});
   EXPECT_TRUE(jobs_.HasCancelledDependency(late.spec));
@@ -190,7 +190,7 @@
   EXPECT_EQ(jobs_.StateOf("job-2"), KnownJobState::kCancelled);
 }
 
-TEST_F(JobTableTest, APeersWordCancelsBeforeTheRecordDoes) {
+TEST_F(JobTableTest, CancellationReportedByAPeerPrecedesTheRecord) {
   Put(Record("job-1"), 1);
   Put(Record("job-2", {"job-1"}), 2);
   cancellations_.AddReported("job-1");
@@ -198,7 +198,7 @@
   EXPECT_EQ(jobs_.StateOf("job-2"), KnownJobState::kBlocked);
   jobs_.CascadeCancellation("job-1");
   EXPECT_EQ(jobs_.StateOf("job-2"), KnownJobState::kCancelled);
-  // That it is done counts more: nothing is left to be cancelled.
+  // A done job cannot be cancelled.
   Put(Record("job-1", {}, JobState::kDone), 3);
   EXPECT_EQ(jobs_.StateOf("job-1"), KnownJobState::kDone);
 }
@@ -218,7 +218,7 @@
   EXPECT_TRUE(jobs_.had_spread_service());
 }
 
-TEST(KnownJobState, HasANameAndTellsWhetherTasksHaveToEnd) {
+TEST(KnownJobState, HasANameAndKnowsWhetherTheJobIsFinished) {
   EXPECT_EQ(NameOf(KnownJobState::kBlocked), "blocked");
   EXPECT_FALSE(IsFinished(KnownJobState::kUnknown));
   EXPECT_TRUE(IsFinished(KnownJobState::kCancelled));
@@ -250,7 +250,7 @@
   TableReplica replica_{0, &directory_, &recorder_};
 };
 
-TEST_F(TableReplicaTest, AChunkReplacesItsMachines) {
+TEST_F(TableReplicaTest, ChunkReplacesItsMachines) {
   EXPECT_EQ(Put(Table({"m1", "m2"}), 0, 1), RecordOutcome::kApplied);
   EXPECT_THAT(recorder_.Take(), ElementsAre("m1 in shard 0", "m2 in shard 0"));
   EXPECT_TRUE(replica_.TakeChanged());
@@ -263,7 +263,7 @@
   EXPECT_THAT(table().machines, SizeIs(2));
 }
 
-TEST_F(TableReplicaTest, AnUnreadableChunkLeavesTheTableAsItWas) {
+TEST_F(TableReplicaTest, UnreadableChunkLeavesTheTableUnchanged) {
   Put(Table({"m1"}), 0, 1);
   replica_.TakeChanged();
   troutlink::Key key;
@@ -273,7 +273,7 @@
   EXPECT_FALSE(replica_.TakeChanged());
 }
 
-TEST_F(TableReplicaTest, AMachineThatMovedIsOfTheTableThatWasReadLast) {
+TEST_F(TableReplicaTest, TransferredMachineBelongsToTheTableReadLast) {
   TableReplica other(1, &directory_, &recorder_);
   Put(Table({"m1"}), 0, 1);
   troutlink::Key key;
@@ -302,14 +302,14 @@
   Put(compact, 1, 3);
   Put(compact, 0, 3);
   EXPECT_THAT(table().machines, ElementsAre(Key("m2")));
-  // A page of a list that is older than the compact form brings nothing back.
+  // A page of a list from before the migration has no effect.
   Put(Table({"m1"}), 0, 4);
   EXPECT_THAT(table().machines, ElementsAre(Key("m2")));
   replica_.EraseOriginalChunk(0);
   EXPECT_THAT(replica_.records().original_chunks, IsEmpty());
 }
 
-TEST_F(TableReplicaTest, PagesOfProgressAddUpForOpenJobs) {
+TEST_F(TableReplicaTest, ProgressPagesAreMergedForOpenJobs) {
   EXPECT_EQ(
       replica_.ApplyProgress(0, EncodeProgress({{"job-1", {1}}, {"over", {1}}}), 2, {"job-1"}),
       RecordOutcome::kApplied);
@@ -326,7 +326,7 @@
   EXPECT_THAT(replica_.records().progress, IsEmpty());
 }
 
-TEST_F(TableReplicaTest, ANewerLeadershipOutlivesTheDeletionOfAnOlderOne) {
+TEST_F(TableReplicaTest, NewerLeadershipSurvivesTheDeletionOfAnOlderOne) {
   const std::string value = EncodeLeadership({"n1", 4});
   EXPECT_EQ(replica_.ApplyLeadership(value, 5), RecordOutcome::kApplied);
   EXPECT_EQ(replica_.ApplyLeadership(value, 5), RecordOutcome::kIgnored);
@@ -347,7 +347,7 @@
   return settings;
 }
 
-TEST(ClusterVersion, TheNextLimitsHoldOnceAllNodesHaveTheVersion) {
+TEST(ClusterVersion, AnnouncedLimitsApplyOnceAllNodesAreCurrent) {
   const Settings settings = TwoNodes();
   ClusterVersion version(settings);
   EXPECT_FALSE(version.Apply("n1", EncodeNodeVersion(kStoredFormVersion), 3));
@@ -358,12 +358,12 @@
   EXPECT_TRUE(version.all_current());
   EXPECT_EQ(version.limits().txn_ops, 10);
   EXPECT_EQ(version.number(), kStoredFormVersion);
-  // For good, and told once.
+  // Permanently, and reported once.
   EXPECT_FALSE(version.Apply("n2", EncodeNodeVersion(1), 6));
   EXPECT_TRUE(version.all_current());
 }
 
-TEST(ClusterVersion, TheOwnVersionIsPublishedUntilItIsStored) {
+TEST(ClusterVersion, OwnVersionIsPublishedUntilItIsStored) {
   const Settings settings = TwoNodes();
   ClusterVersion version(settings);
   ASSERT_TRUE(version.PublishDue(kSecond));
@@ -383,7 +383,7 @@
  protected:
   ReplicaSyncTest() { effects_.set_last_tick(kSecond); }
 
-  // The one call that was sent since the last time.
+  // The only call sent since the last call.
   Call TakeCall() {
     Outbox out = effects_.TakeOutbox();
     for (const LogLine& line : out.log) log_.push_back(line.text);
@@ -428,7 +428,7 @@
   Texts log_;
 };
 
-TEST_F(ReplicaSyncTest, AListIsReadPageByPageAndThenWatchedFromItsFirstRevision) {
+TEST_F(ReplicaSyncTest, ListIsReadPageByPageAndThenWatchedFromItsFirstRevision) {
   sync_.Run(kSecond);
   const Call first = TakeCall();
   EXPECT_EQ(first.dest, Dest::kState);
@@ -439,7 +439,7 @@
   EXPECT_THAT(second.target, HasSubstr(JobKey("job-1")));
   const Json leader = Item(LeadershipKey(1), EncodeLeadership({"n2", 5}), 11);
   Answer(3 * kSecond, second, 200, Page(Json::array({leader}), false, 12));
-  // In the order of the keys.
+  // In key order.
   EXPECT_THAT(recorder_.Take(),
               ElementsAre("n2 leads 1 since 11", "open job-1", HasSubstr("list complete up to")));
   EXPECT_TRUE(sync_.feed().synced());
@@ -450,7 +450,7 @@
   EXPECT_THAT(log_, Contains(HasSubstr("event=replica_listed revision=10")));
 }
 
-TEST_F(ReplicaSyncTest, AFailedListIsTriedAgain) {
+TEST_F(ReplicaSyncTest, FailedListIsRetried) {
   sync_.Run(kSecond);
   Answer(5 * kSecond, TakeCall(), 503, Json::object());
   EXPECT_FALSE(sync_.feed().synced());
@@ -459,7 +459,7 @@
   EXPECT_EQ(TakeCall().dest, Dest::kState);
 }
 
-TEST_F(ReplicaSyncTest, AWatchBringsChangesInOrderAndIsFollowedByTheNext) {
+TEST_F(ReplicaSyncTest, WatchAppliesChangesInOrderAndIsFollowedByTheNext) {
   const Call watch = ListNothing(kSecond, 10);
   const Json put = {
       {"put", LeadershipKey(0)}, {"v", *wire::Unpack(EncodeLeadership({"n2", 5}))}, {"stamp", 11}};
@@ -473,7 +473,7 @@
   EXPECT_FALSE(health_.StateFresh(2 * kSecond + 1500 * kMillisecond));
 }
 
-TEST_F(ReplicaSyncTest, AWatchThatIsTooOldIsFollowedByAListThatErasesWhatIsGone) {
+TEST_F(ReplicaSyncTest, CompactedWatchIsFollowedByAListThatErasesDeletedRecords) {
   const Call watch = ListNothing(kSecond, 10);
   replica_.ApplyPut(kSecond, LeadershipKey(0), EncodeLeadership({"n2", 5}), 11);
   recorder_.Take();
@@ -485,14 +485,14 @@
               ElementsAre("nobody leads 0 since 20", HasSubstr("list complete up to")));
 }
 
-TEST_F(ReplicaSyncTest, ARequestedListFollowsTheWatchUnderWay) {
+TEST_F(ReplicaSyncTest, RequestedListFollowsTheCurrentWatch) {
   const Call watch = ListNothing(kSecond, 10);
   sync_.RequestList();
   Answer(2 * kSecond, watch, 200, Changes(Json::array(), 10));
   EXPECT_EQ(TakeCall().dest, Dest::kState);
 }
 
-TEST_F(ReplicaSyncTest, WhenRequestsAreShortTheNextWatchWaits) {
+TEST_F(ReplicaSyncTest, NextWatchIsDelayedIfTheRequestBudgetIsLow) {
   const Call watch = ListNothing(kSecond, 10);
   requests_.Force(kSecond, 95);
   Answer(kSecond, watch, 200, Changes(Json::array(), 10));
@@ -501,7 +501,7 @@
   EXPECT_EQ(TakeCall().dest, Dest::kWatch);
 }
 
-TEST_F(ReplicaSyncTest, TheOwnVersionIsStoredOnceTheReplicaIsRead) {
+TEST_F(ReplicaSyncTest, OwnVersionIsStoredOnceTheReplicaIsRead) {
   sync_.PublishVersion(kSecond);
   EXPECT_THAT(effects_.TakeOutbox().calls, IsEmpty());
   ListNothing(kSecond, 10);
@@ -514,7 +514,7 @@
   EXPECT_THAT(effects_.TakeOutbox().calls, IsEmpty());
 }
 
-TEST_F(ReplicaSyncTest, TheVersionIsNotStoredUnderAnEarlierProcesssLeadership) {
+TEST_F(ReplicaSyncTest, VersionIsNotStoredUnderAnEarlierIncarnationsLeadership) {
   ListNothing(kSecond, 10);
   replica_.ApplyPut(kSecond, LeadershipKey(0), EncodeLeadership({"n1", 76}), 11);
   sync_.PublishVersion(kSecond);
@@ -524,7 +524,7 @@
   EXPECT_THAT(effects_.TakeOutbox().calls, SizeIs(1));
 }
 
-TEST_F(ReplicaSyncTest, ChangesOfATableAreToldOnceABatch) {
+TEST_F(ReplicaSyncTest, TableChangesAreReportedOncePerBatch) {
   AssignmentTable table = Table({"m1"});
   table.chunks = 2;
   replica_.ApplyPut(kSecond, AssignmentKey(1, 0), EncodeChunk(table, 0), 1);
@@ -536,7 +536,7 @@
   EXPECT_THAT(recorder_.Take(), ElementsAre("table 1"));
 }
 
-TEST_F(ReplicaSyncTest, RecordsOfUnknownShardsAndKeysAreLeftAlone) {
+TEST_F(ReplicaSyncTest, RecordsOfUnknownShardsAndKeysAreIgnored) {
   replica_.ApplyPut(kSecond, LeadershipKey(2), EncodeLeadership({"n3", 5}), 11);
   replica_.ApplyErase(kSecond, LeadershipKey(2), 12);
   replica_.ApplyPut(kSecond, "troutlink/something", "x", 13);
@@ -545,7 +545,7 @@
   EXPECT_THAT(recorder_.Take(), ElementsAre("types x"));
 }
 
-TEST_F(ReplicaSyncTest, ProgressOfAJobThatIsOverIsForgotten) {
+TEST_F(ReplicaSyncTest, ProgressOfAFinishedJobIsDropped) {
   replica_.ApplyPut(kSecond, JobKey("job-1"), EncodeJob(Record("job-1")), 1);
   replica_.ApplyPut(kSecond, ProgressKey(0), EncodeProgress({{"job-1", {1}}}), 2);
   EXPECT_THAT(replica_.records(0).progress, ElementsAre(Key("job-1")));
@@ -553,7 +553,7 @@
   EXPECT_THAT(replica_.records(0).progress, IsEmpty());
 }
 
-TEST(StateAnswers, AWatchTellsChangesThatTheyAreGoneOrNothing) {
+TEST(StateAnswers, WatchAnswerIsChangesTooOldOrFailed) {
   const std::string changes = wire::Pack({{"events", Json::array()}, {"ledger", 7}});
   EXPECT_EQ(DecodeWatchAnswer(200, changes).outcome, WatchOutcome::kChanges);
   EXPECT_EQ(DecodeWatchAnswer(200, changes).changes.revision, 7U);
--- a/tests/test_support.h
+++ b/tests/test_support.h
@@ -1,4 +1,4 @@
-// What the tests on the simulated World share.
+// Helpers of the tests on the simulated World.
 #ifndef TROUTLINK_TESTS_TEST_SUPPORT_H_
 #define TROUTLINK_TESTS_TEST_SUPPORT_H_
 
@@ -8,37 +8,38 @@
 
 #include "world.h"
 
-// No rule was broken in that world.
-#define EXPECT_KEPT(w) EXPECT_TRUE((w).broken().empty()) << (w).broken().front()
+// Expects that no rule was violated.
+#define EXPECT_NO_VIOLATIONS(world) \
+  EXPECT_TRUE((world).violations().empty()) << (world).violations().front()
 
 namespace troutlink::test {
 
-// After that time nodes that have just started lead their shards.
-constexpr Micros kReady = 3 * kSecond;
+// Time after which started nodes lead their shards.
+constexpr Micros kStartupTime = 3 * kSecond;
 
-// The job's status as users see it at that node, or the status of the answer if it is not 200.
-std::string Status(World& w, size_t node, const std::string& id);
+// The job's status as reported by the node, or the HTTP status if it is not 200.
+std::string Status(World& world, size_t node, const std::string& id);
 
-// Whether one question, asked once, is answered so within a second.
-bool Tells(World& w, size_t node, const std::string& id, const std::string& status);
+// Whether a single poll reports the status within a second.
+bool ReportsStatus(World& world, size_t node, const std::string& id, const std::string& status);
 
 // Submits a job until it is accepted.
-void Accept(World& w, size_t node, const JobSpec& spec);
+void SubmitUntilAccepted(World& world, size_t node, const JobSpec& spec);
 
-// Waits until the job is done, asking all nodes in turn.
-bool DoneWithin(World& w, const std::string& id, Micros most);
+// Waits until the job is done, polling all nodes in turn.
+bool RunsToCompletion(World& world, const std::string& id, Micros most);
 
-// Starts that all machines have carried out.
-int Starts(const World& w);
+// Number of start commands executed by all machines.
+int CountStarts(const World& world);
 
-// A machine with a running task of that job, or null.
-FakeWorker* With(World& w, const std::string& job);
+// A machine that runs a task of the job, or null.
+FakeAgent* AgentRunning(World& world, const std::string& job);
 
-// A service that runs (job-5), and the node that leads its machines' shard.
-struct Running : World {
-  explicit Running(int replicas = 4);
-  // The state service is down for all for so long.
-  void StateDown(Micros time);
+// A world with a running service (job-5), and the node that leads its machines' shard.
+struct RunningService : World {
+  explicit RunningService(int replicas = 4);
+  // Takes the store down for that time.
+  void TakeStoreDown(Micros time);
 
   int shard_id = -1;
   size_t leader = 0, second = 1, third = 2;
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -1,5 +1,5 @@
-// Upgrades while the service serves: what version 1 stored and sent, nodes of both versions side
-// by side, and the smaller limits of the state service after it.
+// Rolling upgrades: records and messages of version 1, nodes of both versions side by side, and the
+// smaller limits of the store afterwards.
 #include <gtest/gtest.h>
 
 #include "test_support.h"
@@ -8,7 +8,7 @@
 namespace troutlink::test {
 namespace {
 
-// --- what version 1 wrote, taken from that release's own output ---------------------------
+// --- output of version 1, recorded from that release ------------------------------------------
 
 constexpr char kOpenJob[] =
     "85a56d6f76657301a47061727402a473706563de0014aa626f6f6b6d61726b5f73ca41f00000a66275696c64"
@@ -52,7 +52,7 @@
   return bytes;
 }
 
-TEST(StoredForms, OfVersion1AreReadAndWrittenToTheByte) {
+TEST(StoredForms, RecordsOfVersion1KeepTheirBytes) {
   for (const char* golden : {kOpenJob, kDoneJob, kCancelledJob}) {
     std::optional<JobRecord> job = DecodeJob(FromHex(golden));
     ASSERT_TRUE(job);
@@ -79,7 +79,7 @@
   EXPECT_EQ(EncodeProgress(*progress), FromHex(kProgress));
 }
 
-TEST(StoredForms, MessagesOfVersion1AreReadAndWrittenToTheByte) {
+TEST(StoredForms, MessagesOfVersion1KeepTheirBytes) {
   for (const char* golden : {kPing, kPong, kRelay, kForward}) {
     const std::string frame = FromHex(golden);
     std::string_view content = frame;
@@ -91,8 +91,8 @@
   }
 }
 
-// What version 1 does not know has keys that it skips.
-TEST(StoredForms, NewOnesHaveKeysOfTheirOwn) {
+// New forms have keys that version 1 skips.
+TEST(StoredForms, NewFormsHaveTheirOwnKeys) {
   EXPECT_EQ(ParseKey(NodeVersionKey("node-1")).kind, Key::Kind::kNodeVersion);
   EXPECT_EQ(ParseKey(NodeVersionKey("node-1")).id, "node-1");
   const Key chunk = ParseKey(AssignmentKey(2, 7, TableForm::kCompact));
@@ -107,44 +107,44 @@
   EXPECT_EQ(ParseKey("troutlink/progress/1/x").kind, Key::Kind::kOther);
 }
 
-// --- stories ---------------------------------------------------------------------------------
+// --- simulated upgrades -------------------------------------------------------------------
 
-// The smallest limits that settings allow are announced.
+// Announces the smallest limits that settings allow.
 void AnnounceSmallLimits(Json* facts) {
   (*facts)["state"]["next"] = {{"write_rps", 40.0}, {"value_kb", 2.0}, {"txn_ops", 4}};
 }
 
 class Upgrade : public ::testing::Test {
  protected:
-  Upgrade() : w_(3, AnnounceSmallLimits) {
-    w_.cloud.capacity = 200;
-    w_.version_1 = {0, 1, 2};
+  Upgrade() : world_(3, AnnounceSmallLimits) {
+    world_.cloud.capacity = 200;
+    world_.version_1_nodes = {0, 1, 2};
   }
 
-  // Arrays of all sizes, and a service, until so many tasks are on machines.
+  // Submits arrays of all sizes and a service until enough tasks are on machines.
   void Fill(int arrays) {
     for (int i = 0; i < arrays; ++i) {
       const std::string id = "job-" + std::to_string(100 + i);
-      w_.SetRunTime(id, (20 + i) * kSecond);
+      world_.SetRunTime(id, (20 + i) * kSecond);
       ids_.push_back(id);
-      Accept(w_, static_cast<size_t>(i % 3), World::Array(id, 10 + i % 7));
+      SubmitUntilAccepted(world_, static_cast<size_t>(i % 3), World::Array(id, 10 + i % 7));
     }
-    Accept(w_, 0, World::Service("job-5", 4));
-    EXPECT_TRUE(w_.Until([&] { return w_.OnMachines("job-5") == 4; }, 60 * kSecond));
+    SubmitUntilAccepted(world_, 0, World::Service("job-5", 4));
+    EXPECT_TRUE(world_.RunUntil([&] { return world_.CountTasks("job-5") == 4; }, 60 * kSecond));
   }
-  // One node ends and comes back with the new version.
+  // Restarts one node with the new version.
   void UpgradeNode(size_t node) {
-    w_.Kill(node);
-    w_.Run(3 * kSecond);
-    w_.version_1.erase(node);
-    w_.Start(node);
-    w_.Run(5 * kSecond);
+    world_.Kill(node);
+    world_.Run(3 * kSecond);
+    world_.version_1_nodes.erase(node);
+    world_.Start(node);
+    world_.Run(5 * kSecond);
   }
   bool AllCompact() {
     for (int shard_id = 0; shard_id < 3; ++shard_id) {
       for (size_t node = 0; node < 3; ++node) {
-        if (!w_.alive(node)) continue;
-        const AssignmentTable& table = w_.core(node).AssignmentsOf(shard_id);
+        if (!world_.alive(node)) continue;
+        const AssignmentTable& table = world_.core(node).AssignmentsOf(shard_id);
         if (table.form != TableForm::kCompact || table.Migrating()) return false;
       }
     }
@@ -152,7 +152,7 @@
   }
   size_t OriginalChunksStored() const {
     size_t count = 0;
-    for (const auto& [key, item] : w_.state.items) {
+    for (const auto& [key, item] : world_.state.items) {
       const Key parsed = ParseKey(key);
       if (parsed.kind == Key::Kind::kAssignments && parsed.form == TableForm::kOriginal) ++count;
     }
@@ -161,32 +161,32 @@
   size_t Machines() {
     size_t count = 0;
     for (int shard_id = 0; shard_id < 3; ++shard_id) {
-      count += w_.core(0).AssignmentsOf(shard_id).machines.size();
+      count += world_.core(0).AssignmentsOf(shard_id).machines.size();
     }
     return count;
   }
   void ExpectAllDone(Micros most) {
-    for (const std::string& id : ids_) EXPECT_TRUE(DoneWithin(w_, id, most)) << id;
-    EXPECT_EQ(w_.OnMachines("job-5"), 4);
-    EXPECT_KEPT(w_);
+    for (const std::string& id : ids_) EXPECT_TRUE(RunsToCompletion(world_, id, most)) << id;
+    EXPECT_EQ(world_.CountTasks("job-5"), 4);
+    EXPECT_NO_VIOLATIONS(world_);
   }
 
-  World w_;
+  World world_;
   std::vector<std::string> ids_;
 };
 
-TEST_F(Upgrade, NothingNewIsWrittenBeforeAllNodesHaveTheNewVersion) {
-  w_.Run(kReady);
+TEST_F(Upgrade, NewFormsAreNotWrittenBeforeAllNodesAreUpgraded) {
+  world_.Run(kStartupTime);
   Fill(6);
   UpgradeNode(0);
   UpgradeNode(1);
   JobSpec waits = World::Array("job-90", 1);
   waits.dependencies = {"job-100"};
-  auto answer = w_.Submit(0, waits);
-  ASSERT_TRUE(w_.Until([&] { return answer->status != -100; }, 5 * kSecond));
+  auto answer = world_.Submit(0, waits);
+  ASSERT_TRUE(world_.RunUntil([&] { return answer->status != -100; }, 5 * kSecond));
   EXPECT_EQ(answer->status, 503);
   EXPECT_GT(answer->retry_after, 0);
-  for (const auto& [key, item] : w_.state.items) {
+  for (const auto& [key, item] : world_.state.items) {
     const Key parsed = ParseKey(key);
     EXPECT_EQ(parsed.form, TableForm::kOriginal) << key;
     EXPECT_FALSE(parsed.kind == Key::Kind::kProgress && parsed.chunk != 0) << key;
@@ -195,172 +195,174 @@
     }
   }
   UpgradeNode(2);
-  w_.SetRunTime("job-90", kSecond);
-  EXPECT_EQ(w_.AskUntil(2, "POST", "/api/jobs", wire::EncodeSubmission(waits)).status, 201);
-  EXPECT_TRUE(DoneWithin(w_, "job-90", 120 * kSecond));
+  world_.SetRunTime("job-90", kSecond);
+  EXPECT_EQ(world_.SendUntilFinal(2, "POST", "/api/jobs", wire::EncodeSubmission(waits)).status,
+            201);
+  EXPECT_TRUE(RunsToCompletion(world_, "job-90", 120 * kSecond));
   ExpectAllDone(120 * kSecond);
 }
 
-TEST_F(Upgrade, TablesAreStoredUnderTheSmallerLimitsBeforeTheyCome) {
-  w_.Run(kReady);
+TEST_F(Upgrade, TablesAreMigratedBeforeSmallerLimitsApply) {
+  world_.Run(kStartupTime);
   Fill(9);
   for (size_t node = 0; node < 3; ++node) UpgradeNode(node);
-  ASSERT_TRUE(w_.Until([&] { return AllCompact(); }, 20 * kSecond));
-  const int too_large = w_.state.too_large;
-  w_.LowerStateLimits();
+  ASSERT_TRUE(world_.RunUntil([&] { return AllCompact(); }, 20 * kSecond));
+  const int too_large = world_.state.too_large;
+  world_.ApplyAnnouncedLimits();
   ExpectAllDone(180 * kSecond);
-  EXPECT_EQ(w_.state.too_large, too_large);
+  EXPECT_EQ(world_.state.too_large, too_large);
   EXPECT_EQ(OriginalChunksStored(), 0u);
 }
 
-// The limits come at the very moment at which the last node is back: the original chunks are
-// larger than any value may be from then on.
-TEST_F(Upgrade, TablesThatAreTooLargeToBeWrittenChangeTheirForm) {
+// The limits apply at the moment at which the last node is back: from then on the original chunks
+// exceed the value limit.
+TEST_F(Upgrade, TablesWithOversizedChunksAreMigrated) {
   Fill(40);
-  w_.Run(10 * kSecond);
+  world_.Run(10 * kSecond);
   for (size_t node = 0; node < 2; ++node) UpgradeNode(node);
   const size_t machines = Machines();
   EXPECT_GT(machines, 100u);
   size_t largest = 0;
-  for (const auto& [key, item] : w_.state.items) {
+  for (const auto& [key, item] : world_.state.items) {
     if (ParseKey(key).kind != Key::Kind::kAssignments) continue;
     largest = std::max(largest, item.value.dump().size());
   }
   EXPECT_GT(largest, 2 * 1024u);
-  w_.LowerStateLimits();
+  world_.ApplyAnnouncedLimits();
   UpgradeNode(2);
-  ASSERT_TRUE(w_.Until([&] { return AllCompact(); }, 30 * kSecond));
+  ASSERT_TRUE(world_.RunUntil([&] { return AllCompact(); }, 30 * kSecond));
   EXPECT_GT(Machines(), machines / 2);
   ExpectAllDone(240 * kSecond);
 }
 
-TEST_F(Upgrade, LeadersThatEndWhileATableChangesItsFormLoseNothingOfIt) {
+TEST_F(Upgrade, LeaderCrashesDuringAMigrationLoseNoData) {
   Fill(40);
-  w_.Run(10 * kSecond);
+  world_.Run(10 * kSecond);
   for (size_t node = 0; node < 2; ++node) UpgradeNode(node);
-  w_.LowerStateLimits();
-  w_.Kill(2);
-  w_.Run(4 * kSecond);
-  w_.version_1.clear();
-  w_.Start(2);
+  world_.ApplyAnnouncedLimits();
+  world_.Kill(2);
+  world_.Run(4 * kSecond);
+  world_.version_1_nodes.clear();
+  world_.Start(2);
   auto migrating = [&] {
     for (int shard_id = 0; shard_id < 3; ++shard_id) {
-      if (w_.core(0).AssignmentsOf(shard_id).Migrating()) return true;
+      if (world_.core(0).AssignmentsOf(shard_id).Migrating()) return true;
     }
     return false;
   };
-  ASSERT_TRUE(w_.Until(migrating, 20 * kSecond));
-  for (size_t node = 0; node < 3; ++node) w_.Kill(node);
-  w_.Run(kSecond);
-  for (size_t node = 0; node < 3; ++node) w_.Start(node);
-  ASSERT_TRUE(w_.Until([&] { return AllCompact(); }, 40 * kSecond));
+  ASSERT_TRUE(world_.RunUntil(migrating, 20 * kSecond));
+  for (size_t node = 0; node < 3; ++node) world_.Kill(node);
+  world_.Run(kSecond);
+  for (size_t node = 0; node < 3; ++node) world_.Start(node);
+  ASSERT_TRUE(world_.RunUntil([&] { return AllCompact(); }, 40 * kSecond));
   ExpectAllDone(240 * kSecond);
 }
 
-// Commits whose answers are lost, and which are carried out late, while the form changes.
-TEST_F(Upgrade, LateCommitsFromBeforeTheChangeOfFormAreVoid) {
+// Commits without answers that are applied late, during the migration.
+TEST_F(Upgrade, DelayedCommitsFromBeforeTheMigrationFail) {
   Fill(40);
-  w_.Run(10 * kSecond);
+  world_.Run(10 * kSecond);
   int count = 0;
-  w_.lose = [&](size_t node, const Call& call) {
+  world_.drop_call = [&](size_t node, const Call& call) {
     if (call.dest != Dest::kState || call.target != "/commit" || ++count % 4 != 0) return false;
-    w_.ServeLater(node, call, (count % 3 == 0 ? 3 : 9) * kSecond);
+    world_.DeliverCallLater(node, call, (count % 3 == 0 ? 3 : 9) * kSecond);
     return true;
   };
   for (size_t node = 0; node < 3; ++node) UpgradeNode(node);
-  w_.LowerStateLimits();
-  w_.Run(20 * kSecond);
-  w_.lose = nullptr;
-  ASSERT_TRUE(w_.Until([&] { return AllCompact(); }, 40 * kSecond));
+  world_.ApplyAnnouncedLimits();
+  world_.Run(20 * kSecond);
+  world_.drop_call = nullptr;
+  ASSERT_TRUE(world_.RunUntil([&] { return AllCompact(); }, 40 * kSecond));
   ExpectAllDone(240 * kSecond);
 }
 
-TEST_F(Upgrade, ANodeThatDiesBeforeItsTurnAndCancelsOfBothVersionsBreakNoRule) {
-  w_.Run(kReady);
+TEST_F(Upgrade, CrashBeforeTheUpgradeAndCancellationsOfBothVersionsBreakNoRule) {
+  world_.Run(kStartupTime);
   Fill(9);
-  EXPECT_EQ(w_.AskUntil(2, "POST", "/api/jobs/job-100/abort").status, 200);
+  EXPECT_EQ(world_.SendUntilFinal(2, "POST", "/api/jobs/job-100/abort").status, 200);
   UpgradeNode(0);
-  w_.Kill(1);
-  w_.Run(kSecond);
-  w_.Start(1);  // still of the old version
-  w_.Run(2 * kSecond);
-  EXPECT_EQ(w_.AskUntil(0, "POST", "/api/jobs/job-101/abort").status, 200);
-  EXPECT_EQ(w_.AskUntil(1, "POST", "/api/jobs/job-102/abort").status, 200);
-  w_.state_down = true;
-  w_.Run(6 * kSecond);
-  w_.state_down = false;
-  w_.state.Refresh(w_.now);
+  world_.Kill(1);
+  world_.Run(kSecond);
+  world_.Start(1);  // still of the old version
+  world_.Run(2 * kSecond);
+  EXPECT_EQ(world_.SendUntilFinal(0, "POST", "/api/jobs/job-101/abort").status, 200);
+  EXPECT_EQ(world_.SendUntilFinal(1, "POST", "/api/jobs/job-102/abort").status, 200);
+  world_.store_down = true;
+  world_.Run(6 * kSecond);
+  world_.store_down = false;
+  world_.state.Refresh(world_.now);
   UpgradeNode(1);
-  for (size_t node = 0; node < 3; ++node) w_.Kill(node);  // all, half-way
-  w_.Run(2 * kSecond);
-  for (size_t node = 0; node < 3; ++node) w_.Start(node);
-  w_.Run(5 * kSecond);
+  for (size_t node = 0; node < 3; ++node) world_.Kill(node);  // all nodes, half-way
+  world_.Run(2 * kSecond);
+  for (size_t node = 0; node < 3; ++node) world_.Start(node);
+  world_.Run(5 * kSecond);
   UpgradeNode(2);
-  w_.LowerStateLimits();
+  world_.ApplyAnnouncedLimits();
   ids_.erase(ids_.begin(), ids_.begin() + 3);
   ExpectAllDone(240 * kSecond);
-  for (const char* id : {"job-100", "job-101", "job-102"}) EXPECT_EQ(w_.OnMachines(id), 0);
+  for (const char* id : {"job-100", "job-101", "job-102"}) EXPECT_EQ(world_.CountTasks(id), 0);
 }
 
-// A pipeline, jobs that end in great numbers, and progress of more than one page.
-TEST_F(Upgrade, UnderTheSmallerLimitsAllIsServedAndProgressSurvivesATakeover) {
-  w_.version_1.clear();
-  w_.Run(kReady);
-  w_.LowerStateLimits();
+// A pipeline, many finished jobs, and progress of more than one page.
+TEST_F(Upgrade, JobsAreServedAndProgressSurvivesAFailoverUnderSmallerLimits) {
+  world_.version_1_nodes.clear();
+  world_.Run(kStartupTime);
+  world_.ApplyAnnouncedLimits();
   for (int i = 0; i < 20; ++i) {
     JobSpec spec = World::Array("job-" + std::to_string(200 + i), 60);
     spec.task_resources = {100, 0, 100};
     ids_.push_back(spec.id);
-    w_.SetRunTime(spec.id, (10 + 2 * i) * kSecond);
-    Accept(w_, static_cast<size_t>(i % 3), spec);
+    world_.SetRunTime(spec.id, (10 + 2 * i) * kSecond);
+    SubmitUntilAccepted(world_, static_cast<size_t>(i % 3), spec);
   }
-  Accept(w_, 0, World::Service("job-5", 4));
+  SubmitUntilAccepted(world_, 0, World::Service("job-5", 4));
   JobSpec last = World::Array("job-300", 2);
   last.dependencies = ids_;
-  w_.SetRunTime("job-300", kSecond);
-  Accept(w_, 1, last);
-  w_.Run(40 * kSecond);
-  for (size_t node = 0; node < 3; ++node) w_.Kill(node);
-  w_.Run(kSecond);
-  for (size_t node = 0; node < 3; ++node) w_.Start(node);
+  world_.SetRunTime("job-300", kSecond);
+  SubmitUntilAccepted(world_, 1, last);
+  world_.Run(40 * kSecond);
+  for (size_t node = 0; node < 3; ++node) world_.Kill(node);
+  world_.Run(kSecond);
+  for (size_t node = 0; node < 3; ++node) world_.Start(node);
   ExpectAllDone(180 * kSecond);
-  EXPECT_TRUE(DoneWithin(w_, "job-300", 60 * kSecond));
-  EXPECT_EQ(w_.state.too_large, 0);
-  EXPECT_KEPT(w_);
+  EXPECT_TRUE(RunsToCompletion(world_, "job-300", 60 * kSecond));
+  EXPECT_EQ(world_.state.too_large, 0);
+  EXPECT_NO_VIOLATIONS(world_);
 }
 
-// Only the number of changes is small, and a value that shrinks but a little.
-TEST(UpgradeToOtherLimits, FewChangesOfLargeValuesAndSlightlySmallerValuesAreKeptToAsWell) {
+// Only the number of writes is small, and the value limit shrinks slightly.
+TEST(UpgradeToOtherLimits, RespectsFewWritesOfLargeValuesAndSlightlySmallerValues) {
   for (double value_kb : {16.0, 10.0}) {
-    World w(3, [value_kb](Json* facts) {
+    World world(3, [value_kb](Json* facts) {
       (*facts)["state"]["next"] = {{"value_kb", value_kb}, {"txn_ops", 4}};
     });
-    w.cloud.capacity = 200;
-    w.version_1 = {0, 1, 2};
-    w.Run(kReady);
+    world.cloud.capacity = 200;
+    world.version_1_nodes = {0, 1, 2};
+    world.Run(kStartupTime);
     for (int i = 0; i < 40; ++i) {
       const std::string id = "job-" + std::to_string(100 + i);
-      w.SetRunTime(id, (20 + i) * kSecond);
-      Accept(w, static_cast<size_t>(i % 3), World::Array(id, 10 + i % 7));
+      world.SetRunTime(id, (20 + i) * kSecond);
+      SubmitUntilAccepted(world, static_cast<size_t>(i % 3), World::Array(id, 10 + i % 7));
     }
-    w.Run(15 * kSecond);
-    w.LowerStateLimits();
-    w.version_1.clear();
+    world.Run(15 * kSecond);
+    world.ApplyAnnouncedLimits();
+    world.version_1_nodes.clear();
     for (int i = 0; i < 40; ++i) {
-      EXPECT_TRUE(DoneWithin(w, "job-" + std::to_string(100 + i), 240 * kSecond)) << i;
+      EXPECT_TRUE(RunsToCompletion(world, "job-" + std::to_string(100 + i), 240 * kSecond)) << i;
     }
-    EXPECT_KEPT(w);
+    EXPECT_NO_VIOLATIONS(world);
   }
 }
 
-TEST_F(Upgrade, AJobThatNoValueCanHoldIsRefused) {
-  w_.version_1.clear();
-  w_.Run(kReady);
-  Accept(w_, 0, World::Array("job-1", 1));
+TEST_F(Upgrade, JobAboveTheValueLimitIsRefused) {
+  world_.version_1_nodes.clear();
+  world_.Run(kStartupTime);
+  SubmitUntilAccepted(world_, 0, World::Array("job-1", 1));
   JobSpec large = World::Array("job-2", 1);
   for (int i = 0; i < 20; ++i) large.types.push_back("small" + std::string(100, 'x'));
   large.types.push_back("small");
-  EXPECT_EQ(w_.AskUntil(0, "POST", "/api/jobs", wire::EncodeSubmission(large)).status, 422);
+  EXPECT_EQ(world_.SendUntilFinal(0, "POST", "/api/jobs", wire::EncodeSubmission(large)).status,
+            422);
 }
 
 }  // namespace
--- a/tests/users.h
+++ b/tests/users.h
@@ -1,4 +1,4 @@
-// The users' side: what users did, and what they were told.
+// The users of the simulation: what they requested and learned.
 #ifndef TROUTLINK_TESTS_USERS_H_
 #define TROUTLINK_TESTS_USERS_H_
 
@@ -11,43 +11,43 @@
 
 namespace troutlink::test {
 
-// What an answer says of one job to the user who asked.
-struct UserAnswer {
+// The content of a response about one job.
+struct UserReply {
   std::string id;
   std::string method;
   bool submission = false;
   int status = 0;
-  std::string job_status;  // if the answer has one
-  Micros asked = 0, told = 0;
+  std::string job_status;  // empty if the response has none
+  Micros requested_at = 0, answered_at = 0;
 };
 
-// Keeps what users did and were told. It judges nothing: that is the RuleChecker's.
+// Records what users requested and learned. The RuleChecker judges it.
 class Users {
  public:
-  // One job. Times are of when users were told first; 0: not yet.
-  struct Known {
+  // One job. Times are those of the first response that said so; 0: none.
+  struct TrackedJob {
     JobSpec spec;
-    bool asked_cancel = false;
+    bool requested_cancel = false;
     Micros accepted = 0, done = 0, cancelled = 0;
   };
 
-  // A user sends a request to a node.
+  // Records a request of a user.
   void NoteRequest(const std::string& target, const std::string& body);
-  // Takes an answer in, after the RuleChecker has judged it.
-  void RecordReply(const UserAnswer& answer);
-  // What that answer says of a job; nothing if it is not about one.
-  static std::optional<UserAnswer> Read(Micros asked, Micros told, const std::string& method,
-                                        const std::string& target, const std::string& body,
-                                        const Reply& reply);
-  // All jobs that the job depends on, directly or through others.
-  std::vector<const Known*> DependenciesOf(const std::string& id) const;
-  // The job, or null if no user submitted it.
-  const Known* Find(const std::string& id) const;
-  // All jobs that were submitted, also those that were refused.
-  const std::map<std::string, Known>& jobs() const { return jobs_; }
+  // Records a response, after the RuleChecker has checked it.
+  void RecordReply(const UserReply& answer);
+  // Parses a response; nothing if it is not about a job.
+  static std::optional<UserReply> Read(Micros requested_at, Micros answered_at,
+                                       const std::string& method, const std::string& target,
+                                       const std::string& body, const Reply& reply);
+  // All direct and indirect dependencies of the job.
+  std::vector<const TrackedJob*> DependenciesOf(const std::string& id) const;
+  // The job, or null if it was not submitted.
+  const TrackedJob* Find(const std::string& id) const;
+  // All submitted jobs, including refused ones.
+  const std::map<std::string, TrackedJob>& jobs() const { return jobs_; }
 
  private:
-  std::map<std::string, Known> jobs_;
+  std::map<std::string, TrackedJob> jobs_;
 };
 
 }  // namespace troutlink::test
--- a/tests/wire_units_test.cc
+++ b/tests/wire_units_test.cc
@@ -1,4 +1,4 @@
-// Units of src/wire: the documents of users, workers, the cloud and the state service.
+// Unit tests of src/wire.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -38,7 +38,7 @@
 
 Json Submission() { return *Unpack(EncodeSubmission(Spec())); }
 
-// The good submission with `key` set to `value`.
+// The valid submission with `key` set to `value`.
 Json SubmissionWith(const char* key, const Json& value) {
   Json map = Submission();
   map[key] = value;
@@ -49,7 +49,7 @@
 
 auto BadField(const std::string& text) { return HoldsError(SubmissionFault::kBadField, Eq(text)); }
 
-TEST(Submissions, ReadBackWhatWasWritten) {
+TEST(Submissions, RoundTrip) {
   JobSpec spec = Spec();
   spec.kind = JobKind::kGang;
   spec.priority = Priority::kProduction;
@@ -70,7 +70,7 @@
                     Field(&JobSpec::spot, true), Field(&JobSpec::spread, false)));
 }
 
-TEST(Submissions, KeepTheirWordsOnTheWire) {
+TEST(Submissions, KeepTheirNamesOnTheWire) {
   const Json map = Submission();
   EXPECT_EQ(map["form"], "array");
   EXPECT_EQ(map["rank"], "standard");
@@ -84,7 +84,7 @@
   }
 }
 
-TEST(Submissions, WithoutARequiredFieldAreRefused) {
+TEST(Submissions, RefuseAMissingField) {
   const Json good = Submission();
   for (const auto& [key, value] : good.items()) {
     Json map = good;
@@ -93,7 +93,7 @@
   }
 }
 
-TEST(Submissions, WithAFieldOfAnotherTypeAreRefused) {
+TEST(Submissions, RefuseAFieldOfTheWrongType) {
   const Json good = Submission();
   for (const auto& [key, value] : good.items()) {
     EXPECT_THAT(Decoded(SubmissionWith(key.c_str(), Json::array({1}))),
@@ -102,7 +102,7 @@
   }
 }
 
-TEST(Submissions, WithFieldsOutOfRangeAreRefusedWithTheRange) {
+TEST(Submissions, NameTheRangeOfAFieldOutOfRange) {
   for (const Json& tasks : {Json(0), Json(100001), Json(-1), Json(1.5)}) {
     EXPECT_THAT(Decoded(SubmissionWith("pieces", tasks)),
                 BadField("pieces must be an integer from 1 to 100000"))
@@ -123,7 +123,7 @@
   EXPECT_THAT(Decoded(SubmissionWith("spread", 1)), BadField("spread must be a boolean"));
 }
 
-TEST(Submissions, WithUnknownWordsAreRefusedWithTheKnownOnes) {
+TEST(Submissions, NameTheKnownValuesOfAnEnum) {
   EXPECT_THAT(Decoded(SubmissionWith("form", "batch")),
               BadField("form must be array, gang or service"));
   EXPECT_THAT(Decoded(SubmissionWith("rank", "top")),
@@ -132,7 +132,7 @@
               BadField("name_id must be job- and up to 32 digits"));
 }
 
-TEST(Submissions, WithSeveralFaultsAreRefusedForTheFirst) {
+TEST(Submissions, ReportTheFirstOfSeveralErrors) {
   Json map = SubmissionWith("form", "batch");
   map["pieces"] = 0;
   map["spread"] = 1;
@@ -141,7 +141,7 @@
   EXPECT_THAT(Decoded(map), BadField("form must be array, gang or service"));
 }
 
-TEST(Submissions, TakeListsOfTextsOrNull) {
+TEST(Submissions, AcceptListsOfStringsOrNull) {
   for (const char* key : {"builds", "awaits"}) {
     const std::string text = std::string(key) + " must be a list of texts or null";
     EXPECT_THAT(Decoded(SubmissionWith(key, nullptr)), HoldsValue());
@@ -153,36 +153,36 @@
               BadField("builds must be a list of texts or null"));
 }
 
-TEST(Submissions, ThatAllowNoMachineTypeDifferFromThoseThatAllowAny) {
+TEST(Submissions, EmptyMachineTypeListDiffersFromNull) {
   EXPECT_THAT(Decoded(SubmissionWith("builds", nullptr))->types, IsEmpty());
   EXPECT_THAT(Decoded(SubmissionWith("builds", Json::array()))->types, ElementsAre(""));
 }
 
-TEST(Submissions, NameEachDependencyOnce) {
+TEST(Submissions, RemoveDuplicateDependencies) {
   EXPECT_THAT(Decoded(SubmissionWith("awaits", {"job-3", "job-2", "job-3"}))->dependencies,
               ElementsAre("job-2", "job-3"));
 }
 
-TEST(Submissions, WithADeadlineOfZeroHaveOne) {
+TEST(Submissions, DeadlineOfZeroIsADeadline) {
   EXPECT_EQ(Decoded(SubmissionWith("due_s", 0))->deadline, 1);
 }
 
-TEST(Submissions, AskForAmountsRoundedUpToThousandths) {
+TEST(Submissions, RoundAmountsUpToThousandths) {
   EXPECT_EQ(Decoded(SubmissionWith("cpus", 0.0011))->task_resources.cpus, 2);
   EXPECT_EQ(Decoded(SubmissionWith("cpus", 0.3))->task_resources.cpus, 300);
 }
 
-TEST(Submissions, WithUnknownFieldsAreTaken) {
+TEST(Submissions, IgnoreUnknownFields) {
   EXPECT_THAT(Decoded(SubmissionWith("surprise", 1)), HoldsValue());
 }
 
-TEST(Submissions, ThatAreNotOneMapKeyedByTextAreRefused) {
+TEST(Submissions, RefuseABodyThatIsNotAMapWithStringKeys) {
   const std::string packed = Pack(Submission());
   const std::vector<std::string> bodies = {
       packed + "x",                                     // trailing bytes
       Pack(Json(3)),                                    // not a map
       std::string("\x82\xa1") + "a\x01\xa1" + "a\x02",  // a repeated key
-      std::string("\x81\x01\x02"),                      // a key that is no text
+      std::string("\x81\x01\x02"),                      // a key that is not a string
       Pack(SubmissionWith("extra", Json::binary({1, 2}))),
       "",
   };
@@ -200,7 +200,7 @@
          [](const std::string& damaged) { (void)DecodeSubmission(damaged); });
 }
 
-TEST(JobAnswers, ReadBackWhatWasWritten) {
+TEST(JobAnswers, RoundTrip) {
   const JobStatus status{"job-1", JobPhase::kCancelled, 3, 4};
   EXPECT_THAT(
       DecodeJobStatus(EncodeJobStatus(status)),
@@ -211,25 +211,25 @@
                              Field(&JobStatus::done, 0), Field(&JobStatus::running, 0))));
 }
 
-TEST(JobAnswers, WithoutAnIdOrWithAnUnknownStateAreMalformed) {
+TEST(JobAnswers, RefuseAMissingIdOrAnUnknownState) {
   EXPECT_THAT(DecodeJobStatus(Pack({{"status", "done"}})), Eq(std::nullopt));
   EXPECT_THAT(DecodeJobStatus(Pack({{"name_id", "job-1"}, {"status", "lost"}})), Eq(std::nullopt));
   EXPECT_THAT(DecodeJobStatus(Pack(Json::array())), Eq(std::nullopt));
   EXPECT_THAT(DecodeJobStatus("\xc1"), Eq(std::nullopt));
 }
 
-TEST(JobAnswers, OfARefusalHoldTheReason) {
+TEST(JobAnswers, RefusalContainsTheReason) {
   EXPECT_EQ(*Unpack(EncodeError("no such job")), Json({{"error", "no such job"}}));
 }
 
-TEST(JobPaths, NameAJobOrItsAbort) {
+TEST(JobPaths, ParseAJobOrItsAbort) {
   EXPECT_THAT(ParseJobPath("/api/jobs/job-1"),
               Optional(AllOf(Field(&JobPath::id, "job-1"), Field(&JobPath::abort, false))));
   EXPECT_THAT(ParseJobPath("/api/jobs/job-1/abort"),
               Optional(AllOf(Field(&JobPath::id, "job-1"), Field(&JobPath::abort, true))));
 }
 
-TEST(JobPaths, OfAnyOtherFormNameNothing) {
+TEST(JobPaths, RefuseOtherPaths) {
   for (const char* target : {"", "/api/jobs", "/api/jobsx/1", "/api/job/1", "/api/jobs/1/stop",
                              "/api/jobs/1/abort/", "/api/jobs/1/"}) {
     EXPECT_THAT(ParseJobPath(target), Eq(std::nullopt)) << target;
@@ -253,14 +253,14 @@
 
 Json ReportDocument() { return *Unpack(EncodeAgentHeartbeat(FullReport())); }
 
-// The good report with `key` of its task set to `value`.
+// The valid heartbeat with `key` of its task set to `value`.
 std::string ReportWithTask(const char* key, const Json& value) {
   Json map = ReportDocument();
   map["pieces"][0][key] = value;
   return Pack(map);
 }
 
-TEST(Reports, ReadBackWhatWasWritten) {
+TEST(Reports, RoundTrip) {
   const std::optional<AgentHeartbeat> report =
       DecodeAgentHeartbeat(EncodeAgentHeartbeat(FullReport()));
   EXPECT_THAT(
@@ -279,7 +279,7 @@
                   Field(&TaskStatus::why, ExitReason::kDone), Field(&TaskStatus::saved, true)))))));
 }
 
-TEST(Reports, KnowAllWordsOfAState) {
+TEST(Reports, DecodeAllStates) {
   const auto state = [](const char* word) {
     return DecodeAgentHeartbeat(ReportWithTask("status", word))->tasks[0].state;
   };
@@ -290,7 +290,7 @@
   EXPECT_EQ(state("ended"), TaskState::kExited);
 }
 
-TEST(Reports, KnowAllReasonsOfAnExit) {
+TEST(Reports, DecodeAllExitReasons) {
   const auto reason = [](const char* word) {
     return DecodeAgentHeartbeat(ReportWithTask("cause", word))->tasks[0].why;
   };
@@ -305,7 +305,7 @@
   EXPECT_EQ(reason("a new one"), ExitReason::kError);
 }
 
-TEST(Reports, MayCallTheReasonWhy) {
+TEST(Reports, AcceptTheAlternativeNameOfTheReason) {
   Json map = ReportDocument();
   map["pieces"][0].erase("cause");
   EXPECT_EQ(DecodeAgentHeartbeat(Pack(map))->tasks[0].why, ExitReason::kError);
@@ -313,7 +313,7 @@
   EXPECT_EQ(DecodeAgentHeartbeat(Pack(map))->tasks[0].why, ExitReason::kStopped);
 }
 
-TEST(Reports, ThatCanBeReadOnlyInPartAreMalformed) {
+TEST(Reports, RefusePartlyReadableDocuments) {
   EXPECT_THAT(DecodeAgentHeartbeat(ReportWithTask("status", "dreaming")), Eq(std::nullopt));
   EXPECT_THAT(DecodeAgentHeartbeat(ReportWithTask("try", -1)), Eq(std::nullopt));
   for (const char* name :
@@ -331,7 +331,7 @@
   EXPECT_THAT(DecodeAgentHeartbeat(Pack(Json::array())), Eq(std::nullopt));
 }
 
-TEST(Reports, WithoutTasksAreGood) {
+TEST(Reports, AcceptMissingTasks) {
   Json map = ReportDocument();
   map.erase("pieces");
   EXPECT_THAT(DecodeAgentHeartbeat(Pack(map)), Optional(Field(&AgentHeartbeat::tasks, IsEmpty())));
@@ -360,19 +360,19 @@
                       {{"verb", "reap"}, {"piece", "job-1/4"}, {"try", 5}}});
 }
 
-TEST(Commands, KeepTheirWordsOnTheWire) {
+TEST(Commands, KeepTheirNamesOnTheWire) {
   EXPECT_EQ(*Unpack(EncodeHeartbeatReply(7, AllCommands())),
             Json({{"baton", 7}, {"orders", AllOrders()}}));
   EXPECT_EQ(*Unpack(EncodeCommands(7, 8, AllCommands())),
             Json({{"baton", 7}, {"shift", 8}, {"orders", AllOrders()}}));
 }
 
-TEST(Commands, SendAWorkerToAnotherController) {
+TEST(Commands, RedirectAnAgentToAnotherController) {
   EXPECT_EQ(*Unpack(EncodeRedirect("node-2")), Json({{"foreman", "node-2"}}));
   EXPECT_EQ(*Unpack(EncodeRedirect("")), Json::object());
 }
 
-TEST(Cloud, PathsKeepTheirForm) {
+TEST(Cloud, PathsAreStable) {
   EXPECT_EQ(MachineTypesTarget(), "/flavors");
   EXPECT_EQ(RentTarget(), "/rentals");
   EXPECT_EQ(ReturnTarget(), "/rentals/return");
@@ -380,7 +380,7 @@
   EXPECT_EQ(MachinesTarget("n-1", 10), "/rentals?limit=10&from=n-1");
 }
 
-TEST(Cloud, MachineTypesAreReadAndThoseWithoutANameLeftOut) {
+TEST(Cloud, MachineTypesWithoutANameAreDropped) {
   const Json type = {{"sku", "small"},  {"cpus", 4},
                      {"cards", 0.5},    {"memory_gb", 16},
                      {"local_gb", 100}, {"fetch_gb_per_s", 0.2},
@@ -400,7 +400,7 @@
               AllOf(Field(&MachineType::name, "bare"), Field(&MachineType::boot, 60 * kSecond)));
 }
 
-TEST(Cloud, MachinesAreReadAndThoseWithoutANameLeftOut) {
+TEST(Cloud, MachinesWithoutANameAreDropped) {
   const Json machine = {{"name_id", "n-1"}, {"address", "10.0.0.9:1"}, {"build", "small"},
                         {"room", "z1"},     {"loaners", true},         {"status", "booting"},
                         {"age_s", 2.5}};
@@ -424,7 +424,7 @@
                 Field(&ListedMachine::state, State::kRunning))));
 }
 
-TEST(Cloud, RequestsKeepTheirWordsOnTheWire) {
+TEST(Cloud, RequestsKeepTheirNamesOnTheWire) {
   EXPECT_EQ(
       *Unpack(EncodeRent({"r-1", "small", "z1", true, 3})),
       Json(
@@ -432,7 +432,7 @@
   EXPECT_EQ(*Unpack(EncodeReturn({"n-1", "n-2"})), Json({{"hosts", {"n-1", "n-2"}}}));
 }
 
-TEST(Cloud, NamesOfRentedMachinesAreAllTexts) {
+TEST(Cloud, RentedMachineNamesMustBeStrings) {
   EXPECT_THAT(DecodeRented(Pack({{"hosts", {"n-1", "n-2"}}})), Optional(ElementsAre("n-1", "n-2")));
   EXPECT_THAT(DecodeRented(Pack({{"hosts", {"n-1", 2}}})), Eq(std::nullopt));
 }
@@ -446,7 +446,7 @@
   }
 }
 
-TEST(StateService, PathsKeepTheirForm) {
+TEST(StateService, PathsAreStable) {
   EXPECT_EQ(ListTarget("a/", "", 5), "/store?under=a/&limit=5");
   EXPECT_EQ(ListTarget("a/", "a/b", 5), "/store?under=a/&limit=5&from=a/b");
   EXPECT_EQ(WatchTarget("a/", 9, 1500 * kMillisecond), "/follow?under=a/&from=9&hold_ms=1500");
@@ -455,7 +455,7 @@
   EXPECT_EQ(RenewTarget(4), "/grants/4/renew");
 }
 
-TEST(StateService, APageHoldsItsKeysAndRevision) {
+TEST(StateService, DecodesAPageWithItsRevision) {
   const Json item = {{"key", "a/b"}, {"stamp", 3}, {"v", nullptr}};
   const auto page = DecodeList(Pack({{"ledger", 9}, {"truncated", true}, {"items", {item}}}));
   ASSERT_THAT(page,
@@ -465,7 +465,7 @@
                                              Field(&StateItem::version, 3U))));
 }
 
-TEST(StateService, APageThatCanBeReadOnlyInPartIsMalformed) {
+TEST(StateService, RefusesAPartlyReadablePage) {
   const Json good = {{"key", "a/b"}, {"stamp", 3}, {"v", 1}};
   for (const char* key : {"key", "stamp", "v"}) {
     Json item = good;
@@ -476,7 +476,7 @@
   EXPECT_FALSE(DecodeList(Pack({{"ledger", 9}})).has_value());
 }
 
-TEST(StateService, ATransactionKeepsItsWordsOnTheWire) {
+TEST(StateService, TransactionKeepsItsNamesOnTheWire) {
   StateTxn txn;
   txn.conditions = {{"a", 1}, {"b", 0}};
   txn.writes = {{"a", Pack("x"), 0, false}, {"b", Pack(2), 7, false}, {"c", "", 0, true}};
@@ -488,7 +488,7 @@
                     {{"delete", "c"}}}}}));
 }
 
-TEST(StateService, AReplyNamesTheKeysThatFailed) {
+TEST(StateService, ReplyNamesTheFailedKeys) {
   EXPECT_THAT(DecodeTxnReply(Pack({{"ledger", 9}})),
               Optional(AllOf(Field(&TxnReply::revision, 9U), Field(&TxnReply::failed, IsEmpty()))));
   EXPECT_THAT(DecodeTxnReply(Pack({{"ledger", 9}, {"failed", {"a", 1, "b"}}})),
@@ -508,7 +508,7 @@
                                 Field(&StateEvent::version, 9U), Field(&StateEvent::erase, true))));
 }
 
-TEST(StateService, ChangesThatCanBeReadOnlyInPartAreMalformed) {
+TEST(StateService, RefusesPartlyReadableChanges) {
   const std::vector<Json> bad = {
       {{"put", "a"}, {"v", 1}}, {{"put", "a"}, {"stamp", 8}}, {{"stamp", 8}}, Json(1)};
   for (const Json& event : bad) {
@@ -517,13 +517,13 @@
   }
 }
 
-TEST(StateService, ALeaseIsAskedForInMilliseconds) {
+TEST(StateService, LeaseTtlIsSentInMilliseconds) {
   EXPECT_EQ(*Unpack(EncodeGrant(3 * kSecond)), Json({{"life_ms", 3000}}));
   EXPECT_THAT(DecodeGrant(Pack({{"permit", 4}})), Optional(4U));
   EXPECT_THAT(DecodeGrant(Pack(Json::object())), Eq(std::nullopt));
 }
 
-TEST(Documents, FromUsersAreNestedUpTo16Deep) {
+TEST(Documents, AllowUpTo16NestingLevels) {
   std::string body = Pack(1);
   for (int depth = 0; depth < 16; ++depth) body.insert(0, 1, '\x91');
   EXPECT_THAT(UnpackStrict(body), Not(Eq(std::nullopt)));
@@ -531,7 +531,7 @@
   EXPECT_THAT(UnpackStrict(body), Eq(std::nullopt));
 }
 
-TEST(Documents, GiveFieldsOfTheRightTypeOnly) {
+TEST(Documents, ReturnOnlyFieldsOfTheRightType) {
   const Json map = {{"text", "x"},   {"count", 1},   {"negative", -1},
                     {"number", 0.5}, {"flag", true}, {"null", nullptr}};
   EXPECT_THAT(Text(map, "text"), Optional(Eq("x")));
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -36,13 +36,11 @@
 // --- setting up ---------------------------------------------------------------
 
 World::World(int nodes, const std::function<void(Json* facts)>& change)
-    : rules(settings, users, workers, results, state),
+    : rules(settings, users, agents, results, state),
       cloud(
-          &workers,
-          [this](const std::string& type, bool spot) -> FakeWorker& {
-            return AddWorker(type, spot);
-          },
-          [this](const std::string& what) { rules.broken.push_back(what); }) {
+          &agents,
+          [this](const std::string& type, bool spot) -> FakeAgent& { return AddAgent(type, spot); },
+          [this](const std::string& what) { rules.violations.push_back(what); }) {
   ReadSettings(nodes, change);
   settings = nodes_[0].settings;
   state.limits = settings.state_limits;
@@ -106,53 +104,54 @@
 
 void World::Kill(size_t node) {
   nodes_[node].core.reset();
-  nodes_[node].frozen = false;
+  nodes_[node].paused = false;
   nodes_[node].delayed.clear();
   for (auto& [id, reply] : nodes_[node].waiting) reply({id, -1, "", 0});
   nodes_[node].waiting.clear();
 }
 
-void World::Freeze(size_t node) { nodes_[node].frozen = true; }
+void World::Pause(size_t node) { nodes_[node].paused = true; }
 
-void World::Thaw(size_t node) {
-  nodes_[node].frozen = false;
+void World::Resume(size_t node) {
+  nodes_[node].paused = false;
   auto delayed = std::move(nodes_[node].delayed);
   nodes_[node].delayed.clear();
   for (auto& run : delayed) run();
 }
 
-FakeWorker& World::AddWorker(const std::string& type, bool spot) {
-  auto made = std::make_unique<FakeWorker>();
-  FakeWorker* worker = made.get();
+FakeAgent& World::AddAgent(const std::string& type, bool spot) {
+  auto made = std::make_unique<FakeAgent>();
+  FakeAgent* agent = made.get();
   char name[16];
   std::snprintf(name, sizeof name, "n-%06d", next_machine_++);
-  worker->name = name;
-  worker->addr = "10.1.0." + std::to_string(next_machine_) + ":9000";
-  worker->type = type;
-  worker->zone = "z1";
-  worker->spot = spot;
-  worker->lease_from = now;
-  worker->next_report = now;
-  worker->node = static_cast<size_t>(next_machine_) % nodes_.size();
-  worker->run_time = run_time;
-  worker->results = &results;
-  worker->mistaken = &mistaken;
-  worker->on_start = [this, worker](const std::string& job, int task) {
-    rules.OnStart(now, *worker, job, task);
+  agent->name = name;
+  agent->addr = "10.1.0." + std::to_string(next_machine_) + ":9000";
+  agent->type = type;
+  agent->zone = "z1";
+  agent->spot = spot;
+  agent->lease_from = now;
+  agent->next_heartbeat = now;
+  agent->node = static_cast<size_t>(next_machine_) % nodes_.size();
+  agent->run_time = run_time;
+  agent->results = &results;
+  agent->failing_jobs = &failing_jobs;
+  agent->on_start = [this, agent](const std::string& job, int task) {
+    rules.OnStart(now, *agent, job, task);
   };
-  return *(workers[name] = std::move(made));
+  return *(agents[name] = std::move(made));
 }
 
 void World::SetRunTime(const std::string& job, Micros time) {
   run_time[job] = time;
-  for (auto& [name, worker] : workers) worker->run_time[job] = time;
+  for (auto& [name, agent] : agents) agent->run_time[job] = time;
 }
 
 // --- users ------------------------------------------------------------------------
 
-std::shared_ptr<World::Answered> World::Ask(size_t node, const std::string& method,
-                                            const std::string& target, const std::string& body) {
-  auto out = std::make_shared<Answered>();
+std::shared_ptr<World::Response> World::SendRequest(size_t node, const std::string& method,
+                                                    const std::string& target,
+                                                    const std::string& body) {
+  auto out = std::make_shared<Response>();
   Node& asked_node = nodes_[node];
   if (asked_node.core == nullptr) {
     out->status = -1;
@@ -161,8 +160,8 @@
   Request request{asked_node.next_request++, method, target, body};
   users.NoteRequest(target, body);
   asked_node.waiting[request.id] = [this, out, method, target, body,
-                                    asked = now](const Reply& reply) {
-    if (auto answer = Users::Read(asked, now, method, target, body, reply)) {
+                                    requested_at = now](const Reply& reply) {
+    if (auto answer = Users::Read(requested_at, now, method, target, body, reply)) {
       rules.OnAnswer(*answer);
       users.RecordReply(*answer);
     }
@@ -174,16 +173,16 @@
   return out;
 }
 
-std::shared_ptr<World::Answered> World::Submit(size_t node, const JobSpec& spec) {
-  return Ask(node, "POST", "/api/jobs", wire::EncodeSubmission(spec));
+std::shared_ptr<World::Response> World::Submit(size_t node, const JobSpec& spec) {
+  return SendRequest(node, "POST", "/api/jobs", wire::EncodeSubmission(spec));
 }
 
-World::Answered World::AskUntil(size_t node, const std::string& method, const std::string& target,
-                                const std::string& body) {
-  std::shared_ptr<Answered> answer;
+World::Response World::SendUntilFinal(size_t node, const std::string& method,
+                                      const std::string& target, const std::string& body) {
+  std::shared_ptr<Response> answer;
   for (int i = 0; i < 60; ++i) {
-    answer = Ask(node, method, target, body);
-    Until([&] { return answer->status != -100; }, 5 * kSecond);
+    answer = SendRequest(node, method, target, body);
+    RunUntil([&] { return answer->status != -100; }, 5 * kSecond);
     if (answer->status == 200 || answer->status == 201 || answer->status == 404 ||
         answer->status == 400 || answer->status == 422) {
       break;
@@ -193,11 +192,11 @@
   return *answer;
 }
 
-// --- what nodes send ----------------------------------------------------------------
+// --- output of nodes --------------------------------------------------------------
 
 void World::Dispatch(size_t node, const Outbox& out) {
   digest_.Add(now, node, out);
-  for (const Call& call : out.calls) Carry(node, call);
+  for (const Call& call : out.calls) SendCall(node, call);
   for (const PeerMessage& message : out.peers) SendToPeer(node, message);
   for (const Reply& reply : out.replies) {
     auto it = nodes_[node].waiting.find(reply.id);
@@ -209,13 +208,14 @@
 }
 
 void World::SendToPeer(size_t node, const PeerMessage& message) {
-  if (mesh_down) return;
+  if (peer_network_down) return;
   const size_t to = NodeNumber(message.to);
-  if (cut_from_mesh.count(node) != 0 || cut_from_mesh.count(to) != 0) return;
-  if (cut_links.count({node, to}) != 0 || cut_links.count({to, node}) != 0) return;
-  // Through the codec, as on the network.
+  if (partitioned_from_peers.count(node) != 0 || partitioned_from_peers.count(to) != 0) return;
+  if (partitioned_links.count({node, to}) != 0 || partitioned_links.count({to, node}) != 0) return;
+  // Encoded and decoded, as on the network.
   const std::string frame = mesh::Encode(message.message);
-  if (frame.size() > mesh::kMaxFrame) rules.Break("a frame of " + std::to_string(frame.size()));
+  if (frame.size() > mesh::kMaxFrame)
+    rules.AddViolation("a frame of " + std::to_string(frame.size()));
   std::string_view in = frame;
   uint64_t length = 0;
   mesh::GetVarint(&in, &length);
@@ -226,23 +226,23 @@
       Dispatch(to, nodes_[to].core->HandlePeer(now, NodeName(node), *decoded));
     });
   };
-  if (hold_mesh) {
-    held_mesh_.push_back(std::move(arrive));
+  if (delay_peer_messages) {
+    delayed_peer_messages_.push_back(std::move(arrive));
   } else {
     At(now + kLatency, std::move(arrive));
   }
 }
 
-void World::ReleaseMesh() {
-  hold_mesh = false;
-  auto held_before = std::move(held_mesh_);
-  held_mesh_.clear();
+void World::DeliverPeerMessages() {
+  delay_peer_messages = false;
+  auto held_before = std::move(delayed_peer_messages_);
+  delayed_peer_messages_.clear();
   for (auto& arrive : held_before) arrive();
 }
 
-void World::Carry(size_t node, const Call& call) {
+void World::SendCall(size_t node, const Call& call) {
   const uint64_t boot = nodes_[node].boot;
-  if (cut_from_watch.count(node) != 0 && call.method == "GET") {
+  if (without_watches.count(node) != 0 && call.method == "GET") {
     FailCall(node, boot, call);
     return;
   }
@@ -251,19 +251,19 @@
                         now + std::stoll(QueryParameter(call.target, "hold_ms")) * kMillisecond});
     return;
   }
-  if (keep_calls && call.method == "POST") carried.emplace_back(node, call);
-  // As long as a node's version is not stored, it counts as one of version 1.
-  if (version_1.count(node) != 0 && call.target == "/commit" &&
+  if (record_calls && call.method == "POST") recorded_calls.emplace_back(node, call);
+  // A node without a stored version counts as version 1.
+  if (version_1_nodes.count(node) != 0 && call.target == "/commit" &&
       call.body.find(NodeVersionKey(NodeName(node))) != std::string::npos) {
     FailCall(node, boot, call);
     return;
   }
-  if (lose && lose(node, call)) {
-    held.emplace_back(node, call);
+  if (drop_call && drop_call(node, call)) {
+    dropped_calls.emplace_back(node, call);
     FailCall(node, boot, call);
     return;
   }
-  const Micros slow = call.dest == Dest::kState ? state_latency : 0;
+  const Micros slow = call.dest == Dest::kState ? store_latency : 0;
   At(now + kLatency + slow, [this, node, boot, call] {
     bool hang = false;
     auto [status, body] = Serve(node, call, &hang);
@@ -275,7 +275,7 @@
   });
 }
 
-// The call gets no answer: its sender notices that after its timeout.
+// The sender gets no answer and notices that after the timeout.
 void World::FailCall(size_t node, uint64_t boot, const Call& call) {
   At(now + call.timeout, [this, node, boot, id = call.id] {
     if (nodes_[node].core == nullptr || nodes_[node].boot != boot) return;
@@ -301,100 +301,100 @@
                                           wire::Unpack(call.body).value_or(Json::object()));
       return {status, wire::Pack(reply)};
     }
-    case Dest::kWorker: break;
+    case Dest::kAgent: break;
   }
-  return ServeWorker(node, call, hang);
+  return ServeAgent(node, call, hang);
 }
 
 std::pair<int, std::string> World::ServeState(size_t node, const Call& call, bool* hang) {
-  if (cut_from_state.count(node) != 0) {
+  if (partitioned_from_store.count(node) != 0) {
     *hang = true;
     return {};
   }
-  if (state_down || refused_by_state.count(node) != 0) return {503, ""};
-  if (state_busy && call.target.rfind("/grants/", 0) != 0) return {429, ""};
+  if (store_down || refused_by_store.count(node) != 0) return {503, ""};
+  if (store_busy && call.target.rfind("/grants/", 0) != 0) return {429, ""};
   auto [status, reply] =
       state.Handle(now, call.method, call.target, wire::Unpack(call.body).value_or(Json::object()));
   return {status, wire::Pack(reply)};
 }
 
-std::pair<int, std::string> World::ServeWorker(size_t node, const Call& call, bool* hang) {
-  for (auto& [name, worker] : workers) {
-    if (worker->addr != call.addr || worker->dead) continue;
-    if (!worker->Reaches(node) || worker->hung || worker->unhearing ||
-        cut_from_workers.count(node) != 0 || worker->lease_from > now) {
+std::pair<int, std::string> World::ServeAgent(size_t node, const Call& call, bool* hang) {
+  for (auto& [name, agent] : agents) {
+    if (agent->addr != call.addr || agent->dead) continue;
+    if (!agent->Reaches(node) || agent->hung || agent->inbound_blocked ||
+        partitioned_from_agents.count(node) != 0 || agent->lease_from > now) {
       break;
     }
-    return worker->Serve(now, call.target, wire::Unpack(call.body).value_or(Json::object()));
+    return agent->Serve(now, call.target, wire::Unpack(call.body).value_or(Json::object()));
   }
   *hang = true;
   return {};
 }
 
-void World::ServeLater(size_t node, const Call& call, Micros after) {
+void World::DeliverCallLater(size_t node, const Call& call, Micros after) {
   At(now + after, [this, node, call] {
     bool hang = false;
     Serve(node, call, &hang);
   });
 }
 
-void World::DeliverHeld() {
-  auto late = std::move(held);
-  held.clear();
+void World::DeliverDroppedCalls() {
+  auto late = std::move(dropped_calls);
+  dropped_calls.clear();
   for (auto& [node, call] : late) {
     bool hang = false;
     Serve(node, call, &hang);
   }
 }
 
-void World::RepeatCarried() {
-  auto again = carried;
-  keep_calls = false;
+void World::RepeatRecordedCalls() {
+  auto again = recorded_calls;
+  record_calls = false;
   for (auto& [node, call] : again) {
     bool hang = false;
     Serve(node, call, &hang);
   }
 }
 
-// --- what workers send ----------------------------------------------------------------
+// --- heartbeats ----------------------------------------------------------------------
 
-void World::ReportLater(FakeWorker* worker, size_t node, Micros after) {
-  AgentHeartbeat report = worker->MakeReport();
+void World::DelayHeartbeat(FakeAgent* agent, size_t node, Micros after) {
+  AgentHeartbeat report = agent->MakeHeartbeat();
   At(now + after, [this, node, body = wire::EncodeAgentHeartbeat(report)] {
-    Ask(node, "POST", "/v1/report", body);
+    SendRequest(node, "POST", "/v1/report", body);
   });
 }
 
-void World::ReportNext(FakeWorker* worker, size_t to, Micros wait) {
-  worker->reporting = false;
-  worker->node = to;
-  worker->next_report = now + wait;
+void World::ScheduleHeartbeat(FakeAgent* agent, size_t to, Micros wait) {
+  agent->reporting = false;
+  agent->node = to;
+  agent->next_heartbeat = now + wait;
 }
 
-void World::WorkerReports(FakeWorker* worker) {
-  worker->reporting = true;
-  const size_t node = worker->node, other = (node + 1) % nodes_.size();
+void World::SendHeartbeat(FakeAgent* agent) {
+  agent->reporting = true;
+  const size_t node = agent->node, other = (node + 1) % nodes_.size();
   Node& to = nodes_[node];
-  std::string body = wire::EncodeAgentHeartbeat(worker->MakeReport());
-  if (keep_reports) kept.emplace_back(worker->name, body);
-  if (to.core == nullptr || cut_from_workers.count(node) != 0 || !worker->Reaches(node)) {
-    // Refused or hung: on to the next one.
+  std::string body = wire::EncodeAgentHeartbeat(agent->MakeHeartbeat());
+  if (record_heartbeats) recorded_heartbeats.emplace_back(agent->name, body);
+  if (to.core == nullptr || partitioned_from_agents.count(node) != 0 || !agent->Reaches(node)) {
+    // Refused or no answer: try the next node.
     At(now + (to.core == nullptr ? 0 : kReportTimeout),
-       [this, worker, other] { ReportNext(worker, other, kSecond); });
+       [this, agent, other] { ScheduleHeartbeat(agent, other, kSecond); });
     return;
   }
   Request request{to.next_request++, "POST", "/v1/report", body};
   auto over = std::make_shared<bool>(false);
-  At(now + kReportTimeout, [this, worker, other, over] {
+  At(now + kReportTimeout, [this, agent, other, over] {
     if (*over) return;
-    *over = true;  // no answer: on to the next one
-    ReportNext(worker, other, kSecond);
+    *over = true;  // no answer: try the next node
+    ScheduleHeartbeat(agent, other, kSecond);
   });
-  to.waiting[request.id] = [this, worker, node, over, sent = now,
-                            incarnation = worker->incarnation](const Reply& reply) {
+  to.waiting[request.id] = [this, agent, node, over, sent = now,
+                            incarnation = agent->incarnation](const Reply& reply) {
     if (*over) return;
     *over = true;
-    TakeReportAnswer(worker, node, sent, incarnation, reply);
+    HandleHeartbeatReply(agent, node, sent, incarnation, reply);
   };
   At(now + kLatency, [this, node, boot = to.boot, request] {
     Deliver(node, [this, node, boot, request] {
@@ -404,28 +404,28 @@
   });
 }
 
-void World::TakeReportAnswer(FakeWorker* worker, size_t node, Micros sent, uint64_t incarnation,
-                             const Reply& reply) {
+void World::HandleHeartbeatReply(FakeAgent* agent, size_t node, Micros sent, uint64_t incarnation,
+                                 const Reply& reply) {
   const size_t other = (node + 1) % nodes_.size();
-  if (worker->hung) {
-    ReportNext(worker, node, kReport);
+  if (agent->hung) {
+    ScheduleHeartbeat(agent, node, kReport);
     return;
   }
-  if (worker->unhearing) {
-    ReportNext(worker, other, 5 * kSecond);
+  if (agent->inbound_blocked) {
+    ScheduleHeartbeat(agent, other, 5 * kSecond);
     return;
   }
   Json answer = wire::Unpack(reply.body).value_or(Json::object());
   if (reply.status == 200) {
-    ReportNext(worker, node, kReport);
-    worker->TakeAnswer(now, sent, incarnation, answer);
+    ScheduleHeartbeat(agent, node, kReport);
+    agent->HandleReply(now, sent, incarnation, answer);
     return;
   }
   const std::string leader = reply.status == 421 ? answer.value("foreman", "") : "";
   if (leader.empty() || NodeNumber(leader) == node) {
-    ReportNext(worker, other, kSecond);
+    ScheduleHeartbeat(agent, other, kSecond);
   } else {
-    ReportNext(worker, NodeNumber(leader), 100 * kMillisecond);
+    ScheduleHeartbeat(agent, NodeNumber(leader), 100 * kMillisecond);
   }
 }
 
@@ -437,7 +437,7 @@
 }
 
 void World::Deliver(size_t node, std::function<void()> run) {
-  if (nodes_[node].frozen) {
+  if (nodes_[node].paused) {
     nodes_[node].delayed.push_back(std::move(run));
   } else {
     run();
@@ -454,9 +454,9 @@
     next_assigned_check_ = now + kAssignedCheck;
     rules.CheckAssigned(now);
   }
-  if (!state_down) state.Expire(now);
+  if (!store_down) state.Expire(now);
   TickNodes();
-  AdvanceWorkers();
+  AdvanceAgents();
   AnswerWatches();
   RunEvents();
 }
@@ -464,19 +464,20 @@
 void World::TickNodes() {
   for (size_t i = 0; i < nodes_.size(); ++i) {
     Node& node = nodes_[i];
-    if (node.core == nullptr || node.frozen || now < node.next_tick) continue;
+    if (node.core == nullptr || node.paused || now < node.next_tick) continue;
     node.next_tick = now + kTick;
     Dispatch(i, node.core->Tick(now, now + kWallClock));
-    if (node.core->violations().Total() != 0) rules.Break("an invariant of " + NodeName(i));
+    if (node.core->violations().Total() != 0) rules.AddViolation("an invariant of " + NodeName(i));
   }
 }
 
-void World::AdvanceWorkers() {
-  for (auto& [name, worker] : workers) {
-    if (worker->dead || worker->hung || worker->lease_from > now) continue;
-    worker->Advance(now);
-    if (!worker->silent && !worker->mute && !worker->reporting && now >= worker->next_report) {
-      WorkerReports(worker.get());
+void World::AdvanceAgents() {
+  for (auto& [name, agent] : agents) {
+    if (agent->dead || agent->hung || agent->lease_from > now) continue;
+    agent->Advance(now);
+    if (!agent->silent && !agent->outbound_blocked && !agent->reporting &&
+        now >= agent->next_heartbeat) {
+      SendHeartbeat(agent.get());
     }
   }
 }
@@ -484,8 +485,8 @@
 void World::AnswerWatches() {
   for (size_t i = 0; i < watches_.size();) {
     const OpenWatch& watch = watches_[i];
-    const bool blocked = state_down || cut_from_state.count(watch.node) != 0 ||
-                         refused_by_state.count(watch.node) != 0;
+    const bool blocked = store_down || partitioned_from_store.count(watch.node) != 0 ||
+                         refused_by_store.count(watch.node) != 0;
     const Json events = blocked ? Json::array() : state.EventsAfter(watch.after);
     if (!blocked && (!events.empty() || now >= watch.until)) {
       AnswerCall(watch.node, watch.boot, watch.call.id, 200,
@@ -514,7 +515,7 @@
   while (now < end) Step();
 }
 
-bool World::Until(const std::function<bool()>& holds, Micros most) {
+bool World::RunUntil(const std::function<bool()>& holds, Micros most) {
   const Micros end = now + most;
   while (now < end) {
     if (holds()) return true;
@@ -523,13 +524,13 @@
   return holds();
 }
 
-// --- what there is to see -----------------------------------------------------------------
+// --- state -----------------------------------------------------------------------------
 
-int World::OnMachines(const std::string& job) const {
+int World::CountTasks(const std::string& job) const {
   int running = 0;
-  for (const auto& [name, worker] : workers) {
-    if (worker->dead) continue;
-    for (const auto& [key, task] : worker->tasks) {
+  for (const auto& [name, agent] : agents) {
+    if (agent->dead) continue;
+    for (const auto& [key, task] : agent->tasks) {
       running += key.first == job && task.state != TaskState::kExited ? 1 : 0;
     }
   }
