--- a/src/core/agents/heartbeats.cc
+++ b/src/core/agents/heartbeats.cc
@@ -10,7 +10,7 @@
 constexpr Micros kPeerAliveWindow = 1500 * kMillisecond;
 constexpr Micros kPeerReachableWindow = 2 * kSecond;
 constexpr Micros kFreshStateAge = kSecond;
-constexpr Micros kMinRedirectTime = kSecond;  // an agent that returns sooner did not try the leader
+constexpr Micros kMinRedirectTime = kSecond;
 constexpr int kMaxLeaseLosses = 2;
 constexpr Micros kRedirectRetryWindow = 15 * kSecond;
 constexpr Micros kRelayDuration = 20 * kSecond;
--- a/tests/agents_test.cc
+++ b/tests/agents_test.cc
@@ -140,7 +140,7 @@
   // The lease expires; only then do the tasks start elsewhere.
   EXPECT_TRUE(world.RunUntil([&] { return with->dead; }, 60 * kSecond));
   EXPECT_TRUE(world.RunUntil([&] { return world.CountTasks("job-5") == 4; }, 10 * kSecond));
-  // The machine gets no new work meanwhile.
+  // Meanwhile the machine is not given new work again and again.
   world.SendUntilFinal(1, "POST", "/api/jobs", wire::EncodeSubmission(World::Service("job-6", 2)));
   EXPECT_TRUE(world.RunUntil([&] { return world.CountTasks("job-6") == 2; }, 20 * kSecond));
   EXPECT_NO_VIOLATIONS(world);
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -174,8 +174,8 @@
   world.cloud.capacity = 0;
   for (int i = 0; i < 6; ++i) world.AddAgent("small");
   world.Run(kStartupTime);
-  // Uses all memory but few CPUs of one machine, so that the other machine with the image has no
-  // room for it.
+  // Requests all memory but few CPUs of one machine, so that the other machine with the image has
+  // no room for it.
   JobSpec lonely = World::Service("job-1", 1);
   lonely.task_resources = {1000, 0, 64000};
   lonely.image = "rare";
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -28,7 +28,7 @@
     for (int j = 0; j < machines / 20; ++j) {
       const std::string id = "job-" + std::to_string(500 + j);
       run_time[id] = 8 * kSecond;
-      for (auto& [n, world] : agents) world->run_time[id] = 8 * kSecond;
+      for (auto& [n, agent] : agents) agent->run_time[id] = 8 * kSecond;
       Submit(static_cast<size_t>(j % 3), Array(id, 40));
     }
     EXPECT_TRUE(RunUntil([&] { return Replicas() == kServices * kReplicas; }, 60 * kSecond))
@@ -45,11 +45,11 @@
         [&] {
           if (now % (100 * kMillisecond) != 0) return false;
           int n = 0;
-          for (const auto& [name, world] : agents) {
-            if (world->dead || world->silent || world->hung) continue;
-            for (const auto& [key, t] : world->tasks) {
+          for (const auto& [name, agent] : agents) {
+            if (agent->dead || agent->silent || agent->hung) continue;
+            for (const auto& [key, task] : agent->tasks) {
               const int id = std::stoi(key.first.substr(4));
-              n += id >= 100 && id < 100 + kServices && t.state != TaskState::kExited ? 1 : 0;
+              n += id >= 100 && id < 100 + kServices && task.state != TaskState::kExited ? 1 : 0;
             }
           }
           return n == kServices * kReplicas;
@@ -59,9 +59,9 @@
   template <typename F>
   int Some(int every, F change) {
     int n = 0, changed = 0;
-    for (auto& [name, world] : agents) {
-      if (world->dead || world->lease_from > now || ++n % every != 0) continue;
-      change(world.get());
+    for (auto& [name, agent] : agents) {
+      if (agent->dead || agent->lease_from > now || ++n % every != 0) continue;
+      change(agent.get());
       ++changed;
     }
     return changed;
--- a/tests/random_faults_test.cc
+++ b/tests/random_faults_test.cc
@@ -23,10 +23,10 @@
   explicit RandomFaults(unsigned seed, Mode mode = Mode::kOrdinary);
 
   // Runs the seed to its end or to the first violation.
-  void Play();
+  void RunSeed();
   const World& world() const { return world_; }
   // Log of actions with their times, for debugging a failed seed.
-  std::string Told() const;
+  std::string ActionLog() const;
 
  private:
   // --- draws ---
@@ -43,12 +43,12 @@
   std::string NewId() { return "job-" + std::to_string(100 + submitted_++); }
   void SubmitSpec(const JobSpec& spec);
   JobSpec OrdinaryJob();
-  void SubmitMistaken();
+  void SubmitFailingJob();
   void GrowPipelines();
-  void SubmitGuests();
+  void SubmitLowPriorityFlood();
   void Cancel(const std::string& id, size_t node);
   void UsersAct();
-  void Question();
+  void PollAllNodes();
 
   void AddDependencies(JobSpec* spec);
   bool SubmitsPipelines() const {
@@ -59,7 +59,7 @@
   // --- faults ---
   void PlanUpgrade();
   void BeginFault();
-  void During(const std::string& what, Micros time, std::function<void()> end);
+  void ScheduleEnd(const std::string& what, Micros time, std::function<void()> end);
   void TakeStoreDown(const std::string& what, Micros time);
   void StateCut(size_t n, Micros time);
   void MeshFault(Micros time);
@@ -69,17 +69,18 @@
   void MachineFaults(Micros time);
   void LateBoots(Micros time);
   long Faults() const {
-    return std::count_if(due_.begin(), due_.end(), [](const Due& due) { return due.fault; });
+    return std::count_if(pending_actions_.begin(), pending_actions_.end(),
+                         [](const PendingAction& due) { return due.fault; });
   }
   // Runs due actions: ends of faults, and users' actions.
-  void RunDue(bool all);
+  void RunPendingActions(bool all);
 
   // --- the end ---
-  void CancelMistaken();
-  void Settle();
+  void CancelFailingJobs();
+  void CheckAllServed();
 
   void Advance(Micros time);
-  void Say(const std::string& what) {
+  void LogAction(const std::string& what) {
     log_.push_back(std::to_string(world_.now / kMillisecond - 1000000) + " ms: " + what);
   }
 
@@ -88,35 +89,35 @@
   World world_;
   std::map<std::string, JobSpec> specs_;
   int submitted_ = 0, ordinary_ = 0;
-  bool guests_came_ = false;
+  bool flood_submitted_ = false;
   double late_writes_ = 0, late_commands_ = 0;
-  int storms_ = 0;  // currently active
-  std::set<size_t> frozen_;
+  int poll_storms_ = 0;  // currently active
+  std::set<size_t> paused_;
   // Pending actions.
-  struct Due {
+  struct PendingAction {
     Micros when;
     std::function<void()> run;
     bool fault;
   };
-  std::vector<Due> due_;
+  std::vector<PendingAction> pending_actions_;
   std::vector<std::string> log_;
 };
 
-// Submits jobs of a team without a guarantee, up to a limit.
-void AddGuests(Json* facts) {
+// Adds a team without a guarantee, but with a limit.
+void AddGuestTeam(Json* facts) {
   (*facts)["teams"].push_back(
       {{"name", "guest"}, {"cpus", 0.0}, {"cpus_max", 48.0}, {"gpus", 0.0}, {"gpus_max", 0.0}});
 }
 
-void AddGuestsAndSmallLimits(Json* facts) {
-  AddGuests(facts);
+void AddGuestTeamAndSmallLimits(Json* facts) {
+  AddGuestTeam(facts);
   (*facts)["state"]["next"] = {{"write_rps", 40.0}, {"value_kb", 2.0}, {"txn_ops", 4}};
 }
 
 RandomFaults::RandomFaults(unsigned seed, Mode mode)
     : mode_(mode),
       rng_(seed),
-      world_(3, mode == Mode::kOrdinary ? AddGuests : AddGuestsAndSmallLimits) {
+      world_(3, mode == Mode::kOrdinary ? AddGuestTeam : AddGuestTeamAndSmallLimits) {
   if (mode == Mode::kUpgrade) world_.version_1_nodes = {0, 1, 2};
   world_.cloud.capacity = 200;
   for (int i = 0; i < 8; ++i) {
@@ -135,11 +136,11 @@
   };
 }
 
-void RandomFaults::Play() {
+void RandomFaults::RunSeed() {
   world_.Run(kStartupTime);
   if (mode_ == Mode::kUpgrade) PlanUpgrade();
   if (mode_ == Mode::kPipelines) {
-    due_.push_back(
+    pending_actions_.push_back(
         {world_.now + Draw(20, 90) * kSecond, [this] { world_.ApplyAnnouncedLimits(); }, false});
   }
   for (int i = 0; i < 6; ++i) SubmitSpec(OrdinaryJob());
@@ -148,17 +149,17 @@
     Advance(Draw(50, 2500) * kMillisecond);
     if (Chance(0.5)) UsersAct();
     if (Chance(0.5) && Faults() < 5) BeginFault();
-    RunDue(false);
+    RunPendingActions(false);
     if (!world_.violations().empty()) return;
   }
-  RunDue(true);
+  RunPendingActions(true);
   world_.Run(20 * kSecond);  // longer than any delay of requests
-  CancelMistaken();
+  CancelFailingJobs();
   world_.Run(80 * kSecond);
-  Settle();
+  CheckAllServed();
 }
 
-std::string RandomFaults::Told() const {
+std::string RandomFaults::ActionLog() const {
   std::string all;
   for (const std::string& line : log_) all += line + "\n";
   return all;
@@ -168,13 +169,13 @@
 void RandomFaults::Advance(Micros time) {
   const Micros end = world_.now + time;
   while (world_.now < end) {
-    if (storms_ == 0) {
+    if (poll_storms_ == 0) {
       world_.Run(end - world_.now);
       return;
     }
-    Question();
+    PollAllNodes();
     world_.Run(std::min<Micros>(10 * kMillisecond, end - world_.now));
-    RunDue(false);
+    RunPendingActions(false);
   }
 }
 
@@ -218,7 +219,7 @@
   return spec;
 }
 
-// Cancels accepted arrays in any state.
+// Adds dependencies on accepted arrays in any state.
 void RandomFaults::AddDependencies(JobSpec* spec) {
   for (int i = specs_.empty() ? 0 : Draw(0, 3); i > 0; --i) {
     const std::string id = AnyJob();
@@ -226,18 +227,19 @@
     if (known == nullptr || known->accepted == 0 || known->spec.kind != JobKind::kArray) continue;
     spec->dependencies.push_back(id);
   }
-  if (!spec->dependencies.empty()) Say(spec->id + " depends on " + spec->dependencies.front());
+  if (!spec->dependencies.empty())
+    LogAction(spec->id + " depends on " + spec->dependencies.front());
 }
 
 // A job that fails on every machine, which its user cancels after a while.
-void RandomFaults::SubmitMistaken() {
+void RandomFaults::SubmitFailingJob() {
   JobSpec spec = OrdinaryJob();
   const std::string id = spec.id;
   world_.failing_jobs.insert(id);
-  Say("mistaken " + id);
+  LogAction("mistaken " + id);
   SubmitSpec(spec);
   const size_t node = Node();
-  due_.push_back(
+  pending_actions_.push_back(
       {world_.now + Draw(5, 60) * kSecond, [this, id, node] { Cancel(id, node); }, false});
 }
 
@@ -256,16 +258,16 @@
 }
 
 // One huge low-priority array and many single tasks.
-void RandomFaults::SubmitGuests() {
-  guests_came_ = true;
+void RandomFaults::SubmitLowPriorityFlood() {
+  flood_submitted_ = true;
   JobSpec huge = World::Array(NewId(), Draw(100, 300));
   huge.team = "guest";
   huge.task_resources = {2000, 0, 4000};
   huge.priority = Priority::kLow;
   world_.SetRunTime(huge.id, Draw(500, 3000) * kMillisecond);
   const int small = Draw(10, 30);
-  Say("guests: " + huge.id + " of " + std::to_string(huge.tasks) + " tasks, and " +
-      std::to_string(small) + " of one");
+  LogAction("guests: " + huge.id + " of " + std::to_string(huge.tasks) + " tasks, and " +
+            std::to_string(small) + " of one");
   SubmitSpec(huge);
   for (int i = 0; i < small; ++i) {
     JobSpec spec = World::Array(NewId(), 1);
@@ -277,23 +279,23 @@
 }
 
 void RandomFaults::Cancel(const std::string& id, size_t node) {
-  Say("cancel " + id + " at " + std::to_string(node));
+  LogAction("cancel " + id + " at " + std::to_string(node));
   world_.SendRequest(node, "POST", "/api/jobs/" + id + "/abort");
 }
 
 void RandomFaults::UsersAct() {
   if (ordinary_ < MaxJobs() && Chance(0.3)) SubmitSpec(OrdinaryJob());
-  if (ordinary_ < MaxJobs() && Chance(0.06)) SubmitMistaken();
+  if (ordinary_ < MaxJobs() && Chance(0.06)) SubmitFailingJob();
   if (mode_ == Mode::kPipelines) GrowPipelines();
-  if (!guests_came_ && Chance(0.04)) SubmitGuests();
+  if (!flood_submitted_ && Chance(0.04)) SubmitLowPriorityFlood();
   for (int i = 0; i < 3; ++i) world_.SendRequest(Node(), "GET", "/api/jobs/" + AnyJob());
   if (Chance(0.3)) world_.Submit(Node(), specs_[AnyJob()]);  // repeats a submission
   if (Chance(0.15)) world_.SendRequest(Node(), "GET", "/api/jobs/job-99999");
   if (Chance(0.25)) Cancel(AnyJob(), Node());
 }
 
-// One poll per node, about open, finished and unknown jobs.
-void RandomFaults::Question() {
+// Polls each node once, about open, finished and unknown jobs.
+void RandomFaults::PollAllNodes() {
   for (size_t node = 0; node < 3; ++node) {
     const std::string id = Chance(0.3) ? "job-" + std::to_string(90000 + Draw(0, 999)) : AnyJob();
     world_.SendRequest(node, "GET", "/api/jobs/" + id);
@@ -303,26 +305,26 @@
 // --- faults -----------------------------------------------------------------------
 
 // Ends by itself, or with all others.
-void RandomFaults::During(const std::string& what, Micros time, std::function<void()> end) {
-  Say(what + " for " + std::to_string(time / kMillisecond) + " ms");
-  due_.push_back({world_.now + time, std::move(end), true});
+void RandomFaults::ScheduleEnd(const std::string& what, Micros time, std::function<void()> end) {
+  LogAction(what + " for " + std::to_string(time / kMillisecond) + " ms");
+  pending_actions_.push_back({world_.now + time, std::move(end), true});
 }
 
 // Each node restarts once with the new version; the limits apply after the last.
 void RandomFaults::PlanUpgrade() {
   Micros when = world_.now + Draw(2, 10) * kSecond;
   for (size_t node = 0; node < 3; ++node) {
-    due_.push_back({when,
-                    [this, node] {
-                      Say("upgrades node " + std::to_string(node));
-                      world_.version_1_nodes.erase(node);
-                      EndNode(node, Draw(100, 5000) * kMillisecond);
-                    },
-                    false});
+    pending_actions_.push_back({when,
+                                [this, node] {
+                                  LogAction("upgrades node " + std::to_string(node));
+                                  world_.version_1_nodes.erase(node);
+                                  EndNode(node, Draw(100, 5000) * kMillisecond);
+                                },
+                                false});
     when += Draw(1, 20) * kSecond;
   }
   when += Draw(0, 20) * kSecond;
-  due_.push_back({when, [this] { world_.ApplyAnnouncedLimits(); }, false});
+  pending_actions_.push_back({when, [this] { world_.ApplyAnnouncedLimits(); }, false});
 }
 
 void RandomFaults::BeginFault() {
@@ -334,12 +336,13 @@
     case 1:
     case 2:
       world_.refused_by_store.insert(n);
-      During("state refuses" + at, time, [this, n] { world_.refused_by_store.erase(n); });
+      ScheduleEnd("state refuses" + at, time, [this, n] { world_.refused_by_store.erase(n); });
       break;
     case 3: StateCut(n, time); break;
     case 4:
       world_.partitioned_from_agents.insert(n);
-      During("workers cut from" + at, time, [this, n] { world_.partitioned_from_agents.erase(n); });
+      ScheduleEnd("workers cut from" + at, time,
+                  [this, n] { world_.partitioned_from_agents.erase(n); });
       break;
     case 5: MeshFault(time); break;
     case 6:
@@ -350,23 +353,24 @@
     case 9: FreezeNode(n, time / 2); break;
     case 10:
       late_writes_ = 0.3;
-      During("late writes", time, [this] { late_writes_ = 0; });
+      ScheduleEnd("late writes", time, [this] { late_writes_ = 0; });
       break;
     case 11:
       late_commands_ = 0.5;
-      During("late commands", time, [this] { late_commands_ = 0; });
+      ScheduleEnd("late commands", time, [this] { late_commands_ = 0; });
       break;
     case 12:
       world_.store_latency = Draw(50, 1400) * kMillisecond;
-      During("slow state", time, [this] { world_.store_latency = 0; });
+      ScheduleEnd("slow state", time, [this] { world_.store_latency = 0; });
       break;
     case 13:
     case 14: Gap(n, time); break;
     case 15: LateBoots(time); break;
     case 16:
     case 17:
-      ++storms_;
-      During("storm of questions", Draw(1000, 6000) * kMillisecond, [this] { --storms_; });
+      ++poll_storms_;
+      ScheduleEnd("storm of questions", Draw(1000, 6000) * kMillisecond,
+                  [this] { --poll_storms_; });
       break;
     default: MachineFaults(time / 2);
   }
@@ -374,7 +378,7 @@
 
 void RandomFaults::TakeStoreDown(const std::string& what, Micros time) {
   world_.store_down = true;
-  During(what, time, [this] {
+  ScheduleEnd(what, time, [this] {
     world_.store_down = false;
     world_.state.Refresh(world_.now);
   });
@@ -383,34 +387,34 @@
 void RandomFaults::StateCut(size_t n, Micros time) {
   const std::string at = " node " + std::to_string(n);
   world_.partitioned_from_store.insert(n);
-  During("state cut from" + at, time, [this, n] { world_.partitioned_from_store.erase(n); });
+  ScheduleEnd("state cut from" + at, time, [this, n] { world_.partitioned_from_store.erase(n); });
   if (!Chance(0.5)) return;
   world_.partitioned_from_peers.insert(n);
-  During("mesh cut from" + at, time, [this, n] { world_.partitioned_from_peers.erase(n); });
+  ScheduleEnd("mesh cut from" + at, time, [this, n] { world_.partitioned_from_peers.erase(n); });
 }
 
 void RandomFaults::MeshFault(Micros time) {
   if (Chance(0.5)) {
     world_.delay_peer_messages = true;
-    During("mesh held", time, [this] { world_.DeliverPeerMessages(); });
+    ScheduleEnd("mesh held", time, [this] { world_.DeliverPeerMessages(); });
     return;
   }
   world_.peer_network_down = true;
-  During("mesh down", time, [this] { world_.peer_network_down = false; });
+  ScheduleEnd("mesh down", time, [this] { world_.peer_network_down = false; });
 }
 
 void RandomFaults::EndNode(size_t n, Micros time) {
   if (!world_.alive(n)) return;
   world_.Kill(n);
-  During("ends node " + std::to_string(n), time, [this, n] { world_.Start(n); });
+  ScheduleEnd("ends node " + std::to_string(n), time, [this, n] { world_.Start(n); });
 }
 
 void RandomFaults::FreezeNode(size_t n, Micros time) {
-  if (!world_.alive(n) || frozen_.count(n) != 0) return;
+  if (!world_.alive(n) || paused_.count(n) != 0) return;
   world_.Pause(n);
-  frozen_.insert(n);
-  During("stands still node " + std::to_string(n), time, [this, n] {
-    frozen_.erase(n);
+  paused_.insert(n);
+  ScheduleEnd("stands still node " + std::to_string(n), time, [this, n] {
+    paused_.erase(n);
     if (world_.alive(n)) world_.Resume(n);
   });
 }
@@ -419,8 +423,8 @@
 // is down.
 void RandomFaults::Gap(size_t n, Micros time) {
   world_.refused_by_store.insert(n);
-  During("gap: state refuses node " + std::to_string(n), time,
-         [this, n] { world_.refused_by_store.erase(n); });
+  ScheduleEnd("gap: state refuses node " + std::to_string(n), time,
+              [this, n] { world_.refused_by_store.erase(n); });
   if (world_.store_down) return;
   late_writes_ = 0.6;
   for (int i = 0; i < 6; ++i) {
@@ -444,12 +448,12 @@
       for (int copies = 0; copies < 4; ++copies) {
         world_.DelayHeartbeat(machine, Node(), Draw(100, 20000) * kMillisecond);
       }
-      Say("copies of reports of " + machine->name);
+      LogAction("copies of reports of " + machine->name);
       continue;
     }
     machine->*what[kind] = true;
-    During(machine->name + " " + kNames[kind], time,
-           [machine, field = what[kind]] { machine->*field = false; });
+    ScheduleEnd(machine->name + " " + kNames[kind], time,
+                [machine, field = what[kind]] { machine->*field = false; });
   }
 }
 
@@ -458,17 +462,17 @@
   world_.cloud.boot_time = [this] {
     return Chance(0.3) ? 100000 * kSecond : Draw(5, 40) * kSecond;
   };
-  During("late boots", time, [this] { world_.cloud.boot_time = nullptr; });
+  ScheduleEnd("late boots", time, [this] { world_.cloud.boot_time = nullptr; });
 }
 
-void RandomFaults::RunDue(bool all) {
-  auto before = std::move(due_);
-  due_.clear();
-  for (Due& due : before) {
+void RandomFaults::RunPendingActions(bool all) {
+  auto before = std::move(pending_actions_);
+  pending_actions_.clear();
+  for (PendingAction& due : before) {
     if (all || due.when <= world_.now) {
       due.run();
     } else {
-      due_.push_back(std::move(due));
+      pending_actions_.push_back(std::move(due));
     }
   }
 }
@@ -476,7 +480,7 @@
 // --- the end ----------------------------------------------------------------------
 
 // After the faults the users of failing jobs cancel them.
-void RandomFaults::CancelMistaken() {
+void RandomFaults::CancelFailingJobs() {
   for (const std::string& id : world_.failing_jobs) {
     const Users::TrackedJob* known = world_.users.Find(id);
     auto answer = world_.SendUntilFinal(Node(), "POST", "/api/jobs/" + id + "/abort");
@@ -488,7 +492,7 @@
 }
 
 // Long after the faults every accepted job is known, finished or running.
-void RandomFaults::Settle() {
+void RandomFaults::CheckAllServed() {
   for (const auto& [id, known] : world_.jobs()) {
     if (known.accepted == 0) continue;
     const size_t node = Node();
@@ -521,9 +525,9 @@
   for (unsigned seed = first; seed <= last; ++seed) {
     SCOPED_TRACE(testing::Message() << "seed " << seed);
     RandomFaults faults(seed, mode);
-    faults.Play();
+    faults.RunSeed();
     EXPECT_NO_VIOLATIONS(faults.world());
-    if (testing::Test::HasFailure()) FAIL() << faults.Told();
+    if (testing::Test::HasFailure()) FAIL() << faults.ActionLog();
   }
 }
 
--- a/tests/stale_knowledge_test.cc
+++ b/tests/stale_knowledge_test.cc
@@ -60,7 +60,7 @@
 }
 
 // Whether the node forwards the request to a peer within a few ticks.
-bool IsPassedOn(World& world, size_t node, const std::string& body) {
+bool IsForwarded(World& world, size_t node, const std::string& body) {
   constexpr uint64_t kRequest = 777777;
   Micros now = world.now;
   Outbox out = world.core(node).HandleRequest(now, {kRequest, "POST", "/api/jobs", body});
@@ -85,9 +85,9 @@
   world.partitioned_from_store = {0};
   world.Run(2 * kSecond);
   JobSpec dependent = World::Array("job-2", 1);
-  EXPECT_TRUE(IsPassedOn(world, 0, wire::EncodeSubmission(dependent)));
+  EXPECT_TRUE(IsForwarded(world, 0, wire::EncodeSubmission(dependent)));
   dependent.dependencies = {"job-1"};
-  EXPECT_FALSE(IsPassedOn(world, 0, wire::EncodeSubmission(dependent)));
+  EXPECT_FALSE(IsForwarded(world, 0, wire::EncodeSubmission(dependent)));
 }
 
 // A node without watch answers knows a cancellation from a peer only: a dependent submitted there
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -152,15 +152,15 @@
                                                     const std::string& target,
                                                     const std::string& body) {
   auto out = std::make_shared<Response>();
-  Node& asked_node = nodes_[node];
-  if (asked_node.core == nullptr) {
+  Node& receiver = nodes_[node];
+  if (receiver.core == nullptr) {
     out->status = -1;
     return out;
   }
-  Request request{asked_node.next_request++, method, target, body};
+  Request request{receiver.next_request++, method, target, body};
   users.NoteRequest(target, body);
-  asked_node.waiting[request.id] = [this, out, method, target, body,
-                                    requested_at = now](const Reply& reply) {
+  receiver.waiting[request.id] = [this, out, method, target, body,
+                                  requested_at = now](const Reply& reply) {
     if (auto answer = Users::Read(requested_at, now, method, target, body, reply)) {
       rules.OnAnswer(*answer);
       users.RecordReply(*answer);
@@ -169,7 +169,7 @@
     out->body = wire::Unpack(reply.body).value_or(Json());
     out->retry_after = reply.retry_after_s;
   };
-  Dispatch(node, asked_node.core->HandleRequest(now, request));
+  Dispatch(node, receiver.core->HandleRequest(now, request));
   return out;
 }
 
@@ -235,9 +235,9 @@
 
 void World::DeliverPeerMessages() {
   delay_peer_messages = false;
-  auto held_before = std::move(delayed_peer_messages_);
+  auto delayed = std::move(delayed_peer_messages_);
   delayed_peer_messages_.clear();
-  for (auto& arrive : held_before) arrive();
+  for (auto& arrive : delayed) arrive();
 }
 
 void World::SendCall(size_t node, const Call& call) {
